--- a/include/ospreystage/fleet/membership.hpp
+++ b/include/ospreystage/fleet/membership.hpp
@@ -5,7 +5,7 @@
 #include <ospreystage/fleet/member_table.hpp>
 #include <ospreystage/fleet/vm_list.hpp>
 #include <ospreystage/network/messages.hpp>
-#include <ospreystage/rollout/revisions_heard.hpp>
+#include <ospreystage/rollout/revision_report.hpp>
 
 #include <absl/container/flat_hash_map.h>
 #include <nlohmann/json.hpp>
@@ -43,7 +43,7 @@
 
 /// What the failure detector asks of its shell.
 using membership_action = std::variant<send_ping, send_ack, member_changed,
-                                       superseded, revisions_heard>;
+                                       superseded, revision_report>;
 
 /// Failure detector and member table in the manner of SWIM.
 ///
@@ -93,14 +93,14 @@
     ///
     /// The ping's sequence is that of the one action returned; nothing is
     /// returned if the address of `name` is not known.
-    [[nodiscard]] actions question(const std::string& name);
+    [[nodiscard]] actions query(const std::string& name);
 
     /// Takes in the members of a `sync_reply`.
     [[nodiscard]] actions merge(const std::vector<member>& heard, instant now);
 
     /// Takes in the platform's list; VMs that it lacks are not judged.
-    [[nodiscard]] actions listed(const std::vector<listed_vm>& vms,
-                                 instant now);
+    [[nodiscard]] actions on_vm_list(const std::vector<listed_vm>& vms,
+                                     instant now);
 
     /// Publishes that this process leaves; final for its incarnation.
     [[nodiscard]] actions set_leaving();
--- a/include/ospreystage/fleet/membership_service.hpp
+++ b/include/ospreystage/fleet/membership_service.hpp
@@ -20,7 +20,7 @@
   public:
     using change_handler = std::function<void(const member&)>;
     using superseded_handler = std::function<void(const process_id& by)>;
-    using revisions_handler = std::function<void(const revisions_heard&)>;
+    using revisions_handler = std::function<void(const revision_report&)>;
 
     // ---- Construction ------------------------------------------------------
 
@@ -58,12 +58,12 @@
     void set_in_force(revision number);
     void set_revisions(revision document, std::vector<held_revision> held);
     void merge(const std::vector<member>& heard);
-    void listed(const std::vector<listed_vm>& vms);
+    void on_vm_list(const std::vector<listed_vm>& vms);
 
     /// Asks a process what it holds of the configuration; the answer arrives
-    /// as `revisions_heard`. Returns the question's sequence, 0 if the address
+    /// as `revision_report`. Returns the query's sequence, 0 if the address
     /// is not known.
-    std::uint64_t question(const std::string& name);
+    std::uint64_t query(const std::string& name);
 
   private:
     void apply(const membership::actions& actions);
@@ -71,7 +71,7 @@
     void apply(const send_ack& action);
     void apply(const member_changed& action);
     void apply(const superseded& action);
-    void apply(const revisions_heard& action);
+    void apply(const revision_report& action);
 
     links& connections_;
     membership detector_;
--- a/include/ospreystage/http/web_client.hpp
+++ b/include/ospreystage/http/web_client.hpp
@@ -27,7 +27,7 @@
     complete,      ///< The response is whole.
     not_connected, ///< Nothing was sent: the server cannot have acted.
     no_answer,     ///< The connection ended before the head of a response.
-    cut,           ///< The connection ended within the response.
+    truncated,     ///< The connection ended within the response.
     malformed,     ///< The server sent bytes that are no response.
     timeout,       ///< The time for the call has passed.
 };
@@ -80,7 +80,8 @@
 
     /// Returns true if a call to `server` needs no more than `limit`
     /// connections; 0: no limit.
-    [[nodiscard]] bool has_room(const address& server, std::size_t limit) const;
+    [[nodiscard]] bool has_free_connection(const address& server,
+                                           std::size_t limit) const;
 
     /// Open connections to `server`, idle ones included.
     [[nodiscard]] std::size_t connections(const address& server) const;
--- a/include/ospreystage/network/messages.hpp
+++ b/include/ospreystage/network/messages.hpp
@@ -374,33 +374,34 @@
 struct attempt_notice {
     std::uint32_t host = 0; ///< IPv4 address of the engine, in host order.
     std::uint16_t port = 0;
-    std::uint32_t read_us = 0; ///< Time that its prompt takes to read.
-    OSPREYSTAGE_FIELDS(host, port, read_us)
+    std::uint32_t prefill_us = 0; ///< Time that its prompt takes to read.
+    OSPREYSTAGE_FIELDS(host, port, prefill_us)
 };
 
 /// An agent of a service, as an entry knows it.
-struct agent_place {
+struct agent_location {
     std::string host; ///< IP number, which is the agent's name, too.
     std::string data_centre;
     OSPREYSTAGE_FIELDS(host, data_centre)
-    friend bool operator==(const agent_place&, const agent_place&) = default;
+    friend bool operator==(const agent_location&,
+                           const agent_location&) = default;
 };
 
 /// What an agent needs to bring its engine to the wanted version. Also asks
 /// for reports.
-struct weights_brief {
+struct weights_assignment {
     std::string service;
     std::string model;
     std::uint64_t version = 0; ///< Wanted.
-    /// Time since the version was named, if the sender saw it happen.
-    std::uint32_t named_ms_ago = 0;
-    bool saw_naming = false;
+    /// Time since the version was published, if the sender saw it happen.
+    std::uint32_t published_ms_ago = 0;
+    bool is_observed = false;
     address origin;
     std::uint32_t chunks = 0;
     std::uint32_t chunk_bytes = 0;
     std::uint32_t layers = 0;
-    std::vector<agent_place> agents;
-    OSPREYSTAGE_FIELDS(service, model, version, named_ms_ago, saw_naming,
+    std::vector<agent_location> agents;
+    OSPREYSTAGE_FIELDS(service, model, version, published_ms_ago, is_observed,
                        origin, chunks, chunk_bytes, layers, agents)
 };
 
@@ -415,6 +416,6 @@
     load_report, claim_request, claim_reply, claim_release, recover_request,
     recover_reply, gossip_ping, gossip_ack, sync_request, sync_reply,
     document_push, chunk_have, manifest_request, manifest_reply, chunk_request,
-    chunk_data, engine_report, weights_brief, attempt_notice>;
+    chunk_data, engine_report, weights_assignment, attempt_notice>;
 
 } // namespace ospreystage
--- a/include/ospreystage/requests/gate.hpp
+++ b/include/ospreystage/requests/attempt_scheduler.hpp
@@ -21,32 +21,33 @@
 namespace ospreystage {
 
 /// Starts `order` at the back end.
-struct gate_start {
+struct start_attempt {
     run_order order;
     milliseconds deadline{}; ///< Time left.
 };
 
 /// Stops an attempt that runs at the back end.
-struct gate_cancel {
+struct cancel_attempt {
     attempt_id attempt;
 };
 
 /// Sends `body` on the latest connection of an entry's incarnation.
 ///
 /// The shell drops it if that incarnation has no connection.
-struct gate_send {
+struct send_to_entry {
     process_id entry;
     message body;
 };
 
-/// Effect that the gate asks its shell for.
-using gate_action = std::variant<gate_start, gate_cancel, gate_send>;
+/// Effect that the scheduler asks its shell for.
+using scheduler_action =
+    std::variant<start_attempt, cancel_attempt, send_to_entry>;
 
 /// Effects in the order in which they must happen.
-using gate_actions = std::vector<gate_action>;
+using scheduler_actions = std::vector<scheduler_action>;
 
 /// What the agent serves at the moment.
-struct gate_service {
+struct scheduled_service {
     std::string name;
     bool engine = true;           ///< False: a plain service.
     std::vector<digest> versions; ///< Versions that the engine may be asked
@@ -59,10 +60,10 @@
 /// Pure: it holds no socket, clock or thread. An attempt that was refused is
 /// sealed: it never starts, whatever arrives later. An attempt that started is
 /// listed to its entry until its retention has passed.
-class gate {
+class attempt_scheduler {
   public:
-    using action = gate_action;
-    using actions = gate_actions;
+    using action = scheduler_action;
+    using actions = scheduler_actions;
 
     /// Answer to a new connection of an entry.
     struct link_result {
@@ -75,7 +76,7 @@
     // ---- Construction ------------------------------------------------------
 
     /// Takes capacity and queue length from `configuration`.
-    gate(process_id self, const settings& configuration);
+    attempt_scheduler(process_id self, const settings& configuration);
 
     // ---- Observers ---------------------------------------------------------
 
@@ -88,7 +89,7 @@
     [[nodiscard]] bool is_leaving() const noexcept;
 
     /// Returns true if a queued or running attempt needs `version`.
-    [[nodiscard]] bool uses(const digest& version) const;
+    [[nodiscard]] bool is_version_in_use(const digest& version) const;
 
     /// Describes attempts, seals and counters for the state dump.
     [[nodiscard]] nlohmann::json dump() const;
@@ -97,7 +98,7 @@
 
     /// Replaces what is served. Queued attempts whose version is gone are
     /// refused; running ones go on.
-    [[nodiscard]] actions set_service(gate_service served, instant now);
+    [[nodiscard]] actions set_service(scheduled_service served, instant now);
 
     /// Refuses new attempts; queued and running ones go on to their end.
     void set_leaving();
@@ -213,7 +214,7 @@
     process_id self_;
     std::uint32_t capacity_ = 0;
     std::uint32_t queue_limit_ = 0;
-    gate_service served_;
+    scheduled_service served_;
     bool leaving_ = false;
     absl::flat_hash_map<attempt_id, attempt_record> attempts_;
     absl::btree_map<queue_place, attempt_id> queue_;
--- a/include/ospreystage/requests/attempt_service.hpp
+++ b/include/ospreystage/requests/attempt_service.hpp
@@ -2,8 +2,8 @@
 
 #include <ospreystage/core/kernel.hpp>
 #include <ospreystage/network/links.hpp>
+#include <ospreystage/requests/attempt_scheduler.hpp>
 #include <ospreystage/requests/back_end.hpp>
-#include <ospreystage/requests/gate.hpp>
 #include <ospreystage/requests/prompt_prefix.hpp>
 
 #include <absl/container/flat_hash_map.h>
@@ -23,8 +23,8 @@
     std::vector<std::uint64_t> prefixes; ///< Blocks that it caches.
 };
 
-/// Shell of the agent's gate: carries its actions to links and the back end,
-/// and reports load to the entries that are connected.
+/// Shell of the agent's attempt scheduler: carries its actions to links and the
+/// back end, and reports load to the entries that are connected.
 class attempt_service {
   public:
     // ---- Construction ------------------------------------------------------
@@ -39,7 +39,7 @@
     [[nodiscard]] bool idle() const noexcept;
 
     /// Returns true if a queued or running attempt needs `version`.
-    [[nodiscard]] bool uses(const digest& version) const;
+    [[nodiscard]] bool is_version_in_use(const digest& version) const;
 
     /// Attempts that the back end runs for this agent.
     [[nodiscard]] std::uint32_t running() const noexcept;
@@ -49,7 +49,7 @@
     // ---- Modifiers ---------------------------------------------------------
 
     /// Replaces what is served.
-    void set_service(gate_service served);
+    void set_service(scheduled_service served);
 
     /// Notes the back end's own figures.
     void set_load(back_end_load load);
@@ -59,7 +59,7 @@
 
   private:
     void on_back_end(const attempt_id& attempt, back_end_event event);
-    void perform(gate::actions actions);
+    void perform(attempt_scheduler::actions actions);
     void send(const process_id& entry, const message& body);
     void report_load();
     [[nodiscard]] load_report make_report() const;
@@ -67,12 +67,13 @@
     kernel& core_;
     const settings& configuration_;
     links& links_;
-    gate gate_;
-    gate_service served_;
+    attempt_scheduler scheduler_;
+    scheduled_service served_;
     back_end_load load_;
     prefix_map prefixes_;
     absl::flat_hash_map<process_id, connection_id> entries_;
-    absl::flat_hash_map<std::uint64_t, gate::actions> after_greeting_;
+    absl::flat_hash_map<std::uint64_t, attempt_scheduler::actions>
+        after_greeting_;
     back_end back_end_;
 };
 
--- a/include/ospreystage/requests/broker.hpp
+++ b/include/ospreystage/requests/broker.hpp
@@ -29,7 +29,7 @@
 /// returns the effects that the shell carries out in order. Each request ends
 /// with exactly one of `answer_end_action` and `refuse_action`.
 ///
-/// A `send_action` to the entry's own name is for its own `claim_ledger`.
+/// A `send_action` to the entry's own name is for its own `claim_table`.
 ///
 /// The shell reports every change of a link before it sends anything on the
 /// next connection: a run order is sent only on a link that is up, and must
--- a/include/ospreystage/requests/placement.hpp
+++ b/include/ospreystage/requests/chunk_assignment.hpp
@@ -58,17 +58,17 @@
 ///
 /// Every agent that knows the same members computes the same assignment;
 /// removing a member moves only what it was assigned.
-class placement {
+class chunk_assignment {
   public:
     // ---- Construction ------------------------------------------------------
 
     /// Computes the assignment.
     ///
     /// `silent` names readers that others must stand in for.
-    placement(const distribution_strategy& strategy,
-              std::vector<swarm_member> members, const std::string& self,
-              const digest& version, std::uint32_t chunks,
-              const std::vector<std::string>& silent = {});
+    chunk_assignment(const distribution_strategy& strategy,
+                     std::vector<swarm_member> members, const std::string& self,
+                     const digest& version, std::uint32_t chunks,
+                     const std::vector<std::string>& silent = {});
 
     // ---- Observers ---------------------------------------------------------
 
@@ -107,7 +107,9 @@
     [[nodiscard]] bool may_ask(const std::string& peer) const;
 
     /// Returns true if agents stand in for a reader that fails.
-    [[nodiscard]] bool has_stand_ins() const noexcept { return !restricted_; }
+    [[nodiscard]] bool has_backup_readers() const noexcept {
+        return !restricted_;
+    }
 
   private:
     struct placed_member {
--- a/include/ospreystage/requests/claim_service.hpp
+++ b/include/ospreystage/requests/claim_service.hpp
@@ -2,11 +2,11 @@
 
 #include <ospreystage/core/kernel.hpp>
 #include <ospreystage/network/links.hpp>
-#include <ospreystage/requests/claim_ledger.hpp>
+#include <ospreystage/requests/claim_table.hpp>
 
 namespace ospreystage {
 
-/// Shell of the claim ledger on an entry that is a witness.
+/// Shell of the claim table on an entry that is a witness.
 class claim_service {
   public:
     claim_service(kernel& core, const settings& configuration);
@@ -29,7 +29,7 @@
   private:
     kernel& core_;
     links& links_;
-    claim_ledger ledger_;
+    claim_table table_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/requests/claim_ledger.hpp
+++ b/include/ospreystage/requests/claim_table.hpp
@@ -25,7 +25,7 @@
 /// recorded for a key stays its owner until it is released or
 /// `claim_retention` has passed. A witness that has just started does not
 /// vote before it is recovered; see `is_recovered`.
-class claim_ledger {
+class claim_table {
   public:
     /// Recovery request for one other witness.
     struct recovery_step {
@@ -36,9 +36,9 @@
     // ---- Construction ------------------------------------------------------
 
     /// `witnesses` are the names of all witnesses, this one included.
-    claim_ledger(process_id self, std::vector<std::string> witnesses,
-                 milliseconds retention, instant now,
-                 std::size_t limit = max_claims);
+    claim_table(process_id self, std::vector<std::string> witnesses,
+                milliseconds retention, instant now,
+                std::size_t limit = max_claims);
 
     // ---- Observers ---------------------------------------------------------
 
@@ -66,7 +66,7 @@
     /// Records or looks up a claim and votes.
     ///
     /// The reply says `recovering` if this witness may not vote on the key:
-    /// during the recovery, if the ledger is full, if the recovered records of
+    /// during the recovery, if the table is full, if the recovered records of
     /// the key contradict each other, or if another incarnation was meant.
     [[nodiscard]] claim_reply on_claim(const claim_request& request,
                                        instant now);
--- a/include/ospreystage/requests/request_service.hpp
+++ b/include/ospreystage/requests/request_service.hpp
@@ -57,7 +57,7 @@
     void forward();
     void perform(broker::actions actions);
     void deliver(const std::string& process, const message& body);
-    void deliver_to_own_ledger(const message& body);
+    void deliver_to_own_claim_table(const message& body);
     void probe(const std::string& agent);
 
     kernel& core_;
--- a/include/ospreystage/rollout/config_register.hpp
+++ b/include/ospreystage/rollout/config_register.hpp
@@ -2,7 +2,7 @@
 
 #include <ospreystage/core/clock.hpp>
 #include <ospreystage/network/messages.hpp>
-#include <ospreystage/rollout/revisions_heard.hpp>
+#include <ospreystage/rollout/revision_report.hpp>
 #include <ospreystage/rollout/rollout.hpp>
 
 #include <nlohmann/json.hpp>
@@ -32,7 +32,7 @@
 };
 
 /// Ask a witness, by a datagram, what it holds now; report the question with
-/// `asked`.
+/// `on_witness_asked`.
 struct ask_witness {
     std::string witness;
 };
@@ -101,10 +101,11 @@
     void set_peers(std::vector<std::string> peers);
 
     /// The platform's service was read; empty text: nothing accepted yet.
-    [[nodiscard]] actions platform_read(const std::string& json, instant now);
+    [[nodiscard]] actions on_platform_read(const std::string& json,
+                                           instant now);
 
     /// A document was accepted here; it need not be the latest any more.
-    [[nodiscard]] actions accepted(const std::string& json);
+    [[nodiscard]] actions on_accepted(const std::string& json);
 
     /// A peer pushed a document.
     [[nodiscard]] actions receive(const document_push& push, instant now);
@@ -113,13 +114,14 @@
     [[nodiscard]] actions receive(const sync_reply& reply, instant now);
 
     /// A peer's datagram told what it holds.
-    [[nodiscard]] actions heard(const revisions_heard& told, instant now);
+    [[nodiscard]] actions on_revision_report(const revision_report& told,
+                                             instant now);
 
     /// Another process has revision `number` in force.
-    [[nodiscard]] actions heard_in_force(revision number);
+    [[nodiscard]] actions on_in_force_elsewhere(revision number);
 
     /// The witness was asked in a datagram of this sequence.
-    void asked(const std::string& witness, std::uint64_t sequence);
+    void on_witness_asked(const std::string& witness, std::uint64_t sequence);
 
     /// Answers a peer's `sync_request`; the members are left to the shell.
     [[nodiscard]] sync_reply answer(const sync_request& request) const;
@@ -154,7 +156,7 @@
     void hold();
     [[nodiscard]] bool may_put_in_force() const;
     void begin_round(actions& out);
-    void confirm(const revisions_heard& told);
+    void confirm(const revision_report& told);
     [[nodiscard]] bool is_proven() const;
     void settle(actions& out);
     [[nodiscard]] bool is_witness(const std::string& name) const;
--- a/include/ospreystage/rollout/revisions_heard.hpp
+++ b/include/ospreystage/rollout/revision_report.hpp
@@ -8,7 +8,7 @@
 namespace ospreystage {
 
 /// What a peer's datagram tells of the configuration.
-struct revisions_heard {
+struct revision_report {
     process_id peer;
     revision document = 0; ///< Highest revision that the peer has.
     std::vector<held_revision> held;
--- a/include/ospreystage/routing/routing_configuration.hpp
+++ b/include/ospreystage/routing/routing_configuration.hpp
@@ -44,15 +44,15 @@
 
 /// How fast an engine works, from the service's description.
 struct engine_profile {
-    std::uint32_t slots = 1;          ///< Requests that run at once.
-    double step_ms = 0;               ///< One token of every running request.
-    double step_ms_per_request = 0;   ///< Added by each running request.
-    double step_ms_per_k_context = 0; ///< Added by 1,000 tokens of context.
-    double read_tokens_per_s = 0;     ///< Prompt tokens.
-    double read_ms_per_m_pairs = 0;   ///< Added by a million pairs of tokens.
+    std::uint32_t slots = 1;           ///< Requests that run at once.
+    double step_ms = 0;                ///< One token of every running request.
+    double step_ms_per_request = 0;    ///< Added by each running request.
+    double step_ms_per_k_context = 0;  ///< Added by 1,000 tokens of context.
+    double prefill_tokens_per_s = 0;   ///< Prompt tokens.
+    double prefill_ms_per_m_pairs = 0; ///< Added by a million pairs of tokens.
     std::uint32_t steps_per_pass = 1;
-    double usual_prompt_tokens = 0;
-    double usual_answer_tokens = 0;
+    double typical_prompt_tokens = 0;
+    double typical_answer_tokens = 0;
     std::uint32_t layers = 1;
     std::uint32_t chunks = 0; ///< Of a model's weights.
     std::uint32_t chunk_bytes = 0;
--- a/include/ospreystage/serving/backend_load.hpp
+++ b/include/ospreystage/serving/backend_load.hpp
@@ -44,19 +44,19 @@
     /// The caller was refused before: the objective has passed already.
     bool is_late = false;
     /// Oldest weight version that may answer; 0: any.
-    std::uint64_t least_version = 0;
+    std::uint64_t min_version = 0;
     /// Servers that this request has been sent to.
     const absl::flat_hash_set<std::string>* tried = nullptr;
 };
 
 /// The request goes to this server.
-struct placed_at {
+struct placed {
     std::string server;
-    std::uint64_t version = 0; ///< Engines: that is believed to be held.
-    double in_flight = 0;      ///< Requests there, as far as it is known.
-    milliseconds backlog{};    ///< Of prompts that it has to read.
-    milliseconds wait{};       ///< Estimated time to the first event.
-    microseconds read{};       ///< Time that this prompt takes to read.
+    std::uint64_t version = 0;   ///< Engines: that is believed to be held.
+    double in_flight = 0;        ///< Requests there, as far as it is known.
+    milliseconds backlog{};      ///< Of prompts that it has to read.
+    milliseconds wait{};         ///< Estimated time to the first event.
+    microseconds prefill_time{}; ///< Time that this prompt takes to read.
 };
 /// No server has room in time.
 struct no_room {
@@ -65,7 +65,7 @@
 /// No server of the service is known that could answer.
 struct no_server {};
 
-using placement_decision = std::variant<placed_at, no_room, no_server>;
+using placement_decision = std::variant<placed, no_room, no_server>;
 
 /// Tells where a request goes, from what is known of each server's load.
 ///
@@ -113,10 +113,11 @@
 
     // ---- Events ------------------------------------------------------------
 
-    /// This entry sent a request whose prompt takes `read`.
-    void on_sent(const std::string& server, microseconds read, instant now);
+    /// This entry sent a request whose prompt takes `prefill_time`.
+    void on_sent(const std::string& server, microseconds prefill_time,
+                 instant now);
     /// Another entry did.
-    void on_sent_elsewhere(const std::string& server, microseconds read,
+    void on_sent_elsewhere(const std::string& server, microseconds prefill_time,
                            instant now);
     void on_ended(const std::string& server, attempt_result result,
                   instant now);
@@ -140,7 +141,8 @@
     };
 
     [[nodiscard]] const load_record* find(const std::string& server) const;
-    static void add_prompt(load_record& record, microseconds read, instant now);
+    static void add_prompt(load_record& record, microseconds prefill_time,
+                           instant now);
     [[nodiscard]] bool has_fresh_status(const load_record& record,
                                         instant now) const;
     [[nodiscard]] std::uint64_t version_of(const backend_server& server,
--- a/include/ospreystage/serving/caller_dialect.hpp
+++ b/include/ospreystage/serving/caller_protocol.hpp
@@ -31,7 +31,7 @@
 };
 
 /// Translates between callers, the product and backend servers.
-struct caller_dialect {
+struct caller_protocol {
     std::function<caller_request(const http_request&)> read_request;
     /// Returns the header fields of the request to the backend server.
     std::function<http_fields(const http_request&, const attempt_terms&)>
--- a/include/ospreystage/serving/gateway.hpp
+++ b/include/ospreystage/serving/gateway.hpp
@@ -7,9 +7,9 @@
 #include <ospreystage/http/web_server.hpp>
 #include <ospreystage/routing/route_table.hpp>
 #include <ospreystage/serving/backend_load.hpp>
-#include <ospreystage/serving/caller_dialect.hpp>
+#include <ospreystage/serving/caller_protocol.hpp>
 #include <ospreystage/serving/event_splitter.hpp>
-#include <ospreystage/serving/repeat_window.hpp>
+#include <ospreystage/serving/retry_window.hpp>
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -28,9 +28,10 @@
     /// Processes that share the budgets, this one included.
     std::function<std::uint32_t()> entries;
     /// Oldest version of a service's weights that may begin a request.
-    std::function<std::uint64_t(const std::string& service)> least_version;
-    /// Tells the other entries of a request whose prompt takes `read`.
-    std::function<void(const backend_server& server, microseconds read)> sent;
+    std::function<std::uint64_t(const std::string& service)> min_version;
+    /// Tells the other entries of a request whose prompt takes `prefill_time`.
+    std::function<void(const backend_server& server, microseconds prefill_time)>
+        sent;
 };
 
 /// Takes callers' requests, sends each to a backend server and hands back its
@@ -43,8 +44,8 @@
   public:
     gateway(kernel& core, web_client& client, const route_table& routes,
             const backend_registry& servers, backend_load& load,
-            metrics& figures, caller_dialect dialect, gateway_context context,
-            const repeat_window::options& repeats);
+            metrics& figures, caller_protocol protocol, gateway_context context,
+            const retry_window::options& retry_limits);
 
     /// Sets the server that requests come from.
     void attach(web_server& server);
@@ -59,8 +60,8 @@
     /// Starts the timer that looks for silent servers.
     void start();
 
-    /// Replaces the limits of repeats of every service.
-    void set_repeat_limits(const repeat_window::options& limits);
+    /// Replaces the limits of retries of every service.
+    void set_retry_limits(const retry_window::options& limits);
 
     /// Refuses new requests from now on; those in progress go on.
     void close() noexcept { is_closed_ = true; }
@@ -108,7 +109,7 @@
                        const caller_request& caller,
                        const routed_request& routed);
     void place(exchange_id exchange);
-    void send(exchange_id exchange, const placed_at& chosen);
+    void send(exchange_id exchange, const placed& chosen);
     void on_head(exchange_id exchange, const http_response& head);
     void on_body(exchange_id exchange, std::string_view data);
     void on_call_ended(exchange_id exchange, call_end end);
@@ -129,7 +130,7 @@
     void fail_request(exchange_id exchange, std::uint16_t status,
                       const char* reason);
     void erase(exchange_id exchange, const char* outcome);
-    repeat_window& repeats_of(const std::string& service);
+    retry_window& retries_of(const std::string& service);
 
     kernel& core_;
     web_client& client_;
@@ -137,15 +138,15 @@
     const backend_registry& servers_;
     backend_load& load_;
     metrics& figures_;
-    caller_dialect dialect_;
+    caller_protocol protocol_;
     gateway_context context_;
-    repeat_window::options repeat_limits_;
+    retry_window::options retry_limits_;
     web_server* server_ = nullptr;
     bool is_closed_ = false;
     std::mt19937_64 random_;
     absl::flat_hash_map<std::uint64_t, std::unique_ptr<request_record>>
         requests_;
-    absl::flat_hash_map<std::string, repeat_window> repeats_;
+    absl::flat_hash_map<std::string, retry_window> retries_;
     /// Last bytes heard from each server, on any call.
     absl::flat_hash_map<std::string, instant> heard_;
 };
--- a/include/ospreystage/serving/repeat_window.hpp
+++ b/include/ospreystage/serving/retry_window.hpp
@@ -12,15 +12,15 @@
 /// All entries share one budget: over any window, a part of the requests plus
 /// a fixed allowance. Each entry takes its own requests' part and an equal
 /// share of the allowance.
-class repeat_window {
+class retry_window {
   public:
     struct options {
-        double ratio = 0.1;   ///< Repeats per request.
-        double allowance = 0; ///< Repeats of all entries beside the ratio.
+        double ratio = 0.1;   ///< Retries per request.
+        double allowance = 0; ///< Retries of all entries beside the ratio.
         milliseconds window{10'000};
     };
 
-    explicit repeat_window(const options& limits);
+    explicit retry_window(const options& limits);
 
     /// Replaces the limits; what was noted still counts.
     void set_limits(const options& limits) noexcept { limits_ = limits; }
@@ -28,7 +28,7 @@
     /// Takes note of a request.
     void on_request(instant now);
 
-    /// Takes one repeat; returns false if the budget is spent. `entries` is
+    /// Takes one retry; returns false if the budget is spent. `entries` is
     /// the number of processes that share it.
     [[nodiscard]] bool spend(std::uint32_t entries, instant now);
 
@@ -37,7 +37,7 @@
 
     options limits_;
     std::deque<instant> requests_;
-    std::deque<instant> repeats_;
+    std::deque<instant> retries_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/weights/distribution.hpp
+++ b/include/ospreystage/weights/distribution.hpp
@@ -20,15 +20,16 @@
 
 namespace ospreystage {
 
-/// Service that brings the wanted versions to this VM and serves them to peers.
+/// Service that brings the requested versions to this VM and serves them to
+/// peers.
 ///
 /// Binds the decisions of `swarm` to `links`, the origin and `chunk_store`.
 /// Register it as "distribution" after "network" and "links", then call
 /// `start` before `links::start`. From then on, on the kernel thread:
-/// `set_members` whenever the table of members changes, `want` whenever the
-/// document in force changes, and `yield_link` whenever the load of requests
-/// on the link changes. Peers are addressed by process name through the
-/// directory of `links`. `manifest_text` and `read_chunk` answer the HTTP
+/// `set_members` whenever the table of members changes, `request_versions`
+/// whenever the document in force changes, and `yield_link` whenever the load
+/// of requests on the link changes. Peers are addressed by process name through
+/// the directory of `links`. `manifest_text` and `read_chunk` answer the HTTP
 /// endpoint that the engine pulls from, on any thread.
 ///
 ///     auto& spread = core.add("distribution",
@@ -62,7 +63,8 @@
     /// Reads from the origin at `url` from now on.
     void set_origin(const std::string& url);
 
-    /// Takes a manifest that was read elsewhere, for the next `want`.
+    /// Takes a manifest that was read elsewhere, for the next
+    /// `request_versions`.
     ///
     /// `chunks` are some that are at hand; wrong ones are dropped.
     void add_manifest(const digest& version, const std::string& json,
@@ -74,7 +76,7 @@
     /// Sets the versions to hold; all others are dropped at once.
     ///
     /// A version that has not the form of a digest is ignored.
-    void want(const std::vector<wanted_version>& versions);
+    void request_versions(const std::vector<requested_version>& versions);
 
     /// Leaves room for requests that now take `bytes_per_second` of the link;
     /// an eighth of the link stays with the distribution.
@@ -121,7 +123,7 @@
     void perform(const announce_chunks& action);
     void perform(const serve_chunk& action);
     void perform(const refuse_chunk& action);
-    void perform(const give_up_peer& action);
+    void perform(const reconnect_peer& action);
 
     void read_origin_chunk(const digest& version, std::uint32_t index);
     void read_origin_manifest(const digest& version);
@@ -140,7 +142,7 @@
     swarm decisions_;
     chunk_store store_;
     std::vector<completion_handler> handlers_;
-    std::vector<wanted_version> wanted_;
+    std::vector<requested_version> requested_;
     absl::flat_hash_set<digest> reported_;
     absl::flat_hash_map<digest, known_manifest> known_manifests_;
     std::optional<timer_id> timer_;
--- a/include/ospreystage/weights/engine_loader.hpp
+++ b/include/ospreystage/weights/engine_loader.hpp
@@ -59,11 +59,12 @@
 
     // ---- Events ------------------------------------------------------------
 
-    /// Sets the wanted version of `chunks` chunks; an engine with another one
-    /// switches at `turn`.
-    void want(std::uint64_t version, std::uint32_t chunks, instant turn);
+    /// Sets the requested version of `chunks` chunks; an engine with another
+    /// one switches at `turn`.
+    void request_version(std::uint64_t version, std::uint32_t chunks,
+                         instant turn);
 
-    /// Every chunk of the wanted version is held and checked.
+    /// Every chunk of the requested version is held and checked.
     void on_held(std::uint64_t version);
 
     void on_report(const engine_state_report& report, instant now);
@@ -83,11 +84,13 @@
     [[nodiscard]] bool is_announced() const noexcept {
         return announced_.has_value();
     }
-    [[nodiscard]] std::uint64_t wanted() const noexcept { return wanted_; }
+    [[nodiscard]] std::uint64_t requested() const noexcept {
+        return requested_;
+    }
 
   private:
     options limits_;
-    std::uint64_t wanted_ = 0;
+    std::uint64_t requested_ = 0;
     std::uint32_t chunks_ = 0;
     instant turn_{};
     std::uint64_t held_ = 0;
@@ -101,7 +104,7 @@
 
 /// Returns when the engine of rank `rank` of `count` gives up its version.
 ///
-/// The turns are spread from `first` to `last` after the naming.
+/// The turns are spread from `first` to `last` after the publication.
 [[nodiscard]] milliseconds switch_turn(std::size_t rank, std::size_t count,
                                        milliseconds first, milliseconds last);
 
--- a/include/ospreystage/weights/engine_state.hpp
+++ b/include/ospreystage/weights/engine_state.hpp
@@ -44,16 +44,16 @@
 
 /// What the engine should hold, as far as this VM is concerned.
 struct engine_target {
-    std::vector<digest> wanted; ///< From the document, by priority.
-    std::set<digest> complete;  ///< Whole in the agent's chunk store.
-    std::set<digest> in_use;    ///< Versions that running attempts use.
+    std::vector<digest> requested; ///< From the document, by priority.
+    std::set<digest> complete;     ///< Whole in the agent's chunk store.
+    std::set<digest> in_use;       ///< Versions that running attempts use.
 };
 
 /// Compares state and target; the orders are repeated until nothing differs.
 ///
-/// Loads what is wanted and complete; drops what is held, not wanted and not
-/// in use. A version is dropped only after every complete wanted version is
-/// held, so that the old one answers until the new one does.
+/// Loads what is requested and complete; drops what is held, not requested and
+/// not in use. A version is dropped only after every complete requested version
+/// is held, so that the old one answers until the new one does.
 [[nodiscard]] std::vector<engine_order> reconcile(const engine_state& state,
                                                   const engine_target& target);
 
--- a/include/ospreystage/weights/named_versions.hpp
+++ b/include/ospreystage/weights/published_versions.hpp
@@ -10,46 +10,46 @@
 
 namespace ospreystage {
 
-/// Versions of each model that the operator has named, with their times.
+/// Versions of each model that the operator has published, with their times.
 ///
-/// A version may be named before the last one is in use everywhere; each one
-/// has a time limit of its own.
-class named_versions {
+/// A version may be published before the last one is in use everywhere; each
+/// one has a time limit of its own.
+class published_versions {
   public:
-    struct named_record {
+    struct publication {
         std::uint64_t version = 0;
         /// When this process learned of it.
-        instant learned{};
-        /// False if it had been named before this process looked.
-        bool saw_naming = false;
+        instant learned_at{};
+        /// False if it had been published before this process looked.
+        bool is_observed = false;
     };
 
     /// `limit` is the time after which no request may begin on an older
     /// version.
-    explicit named_versions(milliseconds limit) : limit_(limit) {}
+    explicit published_versions(milliseconds limit) : limit_(limit) {}
 
     /// Replaces the limit, also of versions that are known.
     void set_limit(milliseconds limit) noexcept { limit_ = limit; }
 
     /// Takes a version; returns false if it is not newer than the known one.
-    bool on_named(const std::string& model, std::uint64_t version,
-                  bool saw_naming, instant now);
+    bool on_published(const std::string& model, std::uint64_t version,
+                      bool is_observed, instant now);
 
     /// Returns the newest version of a model.
-    [[nodiscard]] std::optional<named_record>
+    [[nodiscard]] std::optional<publication>
     find(const std::string& model) const;
 
     /// Returns the oldest version that may still begin a request; 0: any.
-    [[nodiscard]] std::uint64_t least(const std::string& model,
-                                      instant now) const;
+    [[nodiscard]] std::uint64_t min_version(const std::string& model,
+                                            instant now) const;
 
   private:
-    [[nodiscard]] bool is_due(const named_record& record, instant now) const;
+    [[nodiscard]] bool is_due(const publication& record, instant now) const;
 
     milliseconds limit_;
     /// By model, the oldest first; those that are past their limit are
     /// dropped but for the newest of them.
-    std::map<std::string, std::vector<named_record>> models_;
+    std::map<std::string, std::vector<publication>> models_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/weights/swarm.hpp
+++ b/include/ospreystage/weights/swarm.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <ospreystage/core/token_bucket.hpp>
-#include <ospreystage/requests/placement.hpp>
+#include <ospreystage/requests/chunk_assignment.hpp>
 #include <ospreystage/weights/chunk_bitmap.hpp>
 #include <ospreystage/weights/manifest.hpp>
 #include <ospreystage/weights/swarm_types.hpp>
@@ -19,11 +19,11 @@
 namespace ospreystage {
 
 /// A version that this agent shall hold.
-struct wanted_version {
+struct requested_version {
     digest version;
     std::uint32_t priority = 0; ///< Higher is fetched and served first.
-    friend bool operator==(const wanted_version&,
-                           const wanted_version&) = default;
+    friend bool operator==(const requested_version&,
+                           const requested_version&) = default;
 };
 
 /// Decides which chunk is fetched when and from whom, and which is served.
@@ -34,7 +34,7 @@
 ///
 ///     swarm decisions(options, "agent-1");
 ///     decisions.set_members(members, now);
-///     decisions.set_wanted({{version, 1}}, now);
+///     decisions.set_requested({{version, 1}}, now);
 ///     for (const swarm_action& action : decisions.tick(now))
 ///         std::visit(perform, action);
 class swarm {
@@ -63,7 +63,8 @@
     void set_members(std::vector<swarm_member> members, instant now);
 
     /// Sets the versions to hold; everything about others is dropped.
-    void set_wanted(const std::vector<wanted_version>& wanted, instant now);
+    void set_requested(const std::vector<requested_version>& requested,
+                       instant now);
 
     /// Sets the share of the link that may be used from now on.
     void set_budget(const link_budget& budget, instant now);
@@ -141,12 +142,12 @@
         std::vector<std::uint32_t> order; ///< Random, differs by agent.
         std::vector<peer_view> views;     ///< By peer_id.
         std::vector<peer_id> active;
-        std::optional<placement> roles;
+        std::optional<chunk_assignment> roles;
         std::vector<std::string> silent; ///< Readers that others replace.
         std::vector<std::string> owners_to_tell;
         bool announce_now = false;
         instant announced{};
-        instant wanted_since{};
+        instant requested_since{};
         instant progress{}; ///< Last chunk stored.
         instant checked{};
         std::optional<chunk_source> manifest_source; ///< Outstanding.
--- a/include/ospreystage/weights/swarm_types.hpp
+++ b/include/ospreystage/weights/swarm_types.hpp
@@ -2,7 +2,7 @@
 
 #include <ospreystage/core/clock.hpp>
 #include <ospreystage/core/ids.hpp>
-#include <ospreystage/requests/placement.hpp>
+#include <ospreystage/requests/chunk_assignment.hpp>
 
 #include <cstdint>
 #include <string>
@@ -103,13 +103,13 @@
 };
 
 /// A peer gave no answer in time: its connection should be opened anew.
-struct give_up_peer {
+struct reconnect_peer {
     std::string peer;
 };
 
 /// What the shell has to do.
 using swarm_action = std::variant<fetch_chunk, fetch_manifest, announce_chunks,
-                                  serve_chunk, refuse_chunk, give_up_peer>;
+                                  serve_chunk, refuse_chunk, reconnect_peer>;
 
 /// Counts of events since the start.
 struct swarm_counters {
--- a/include/ospreystage/weights/version_plan.hpp
+++ b/include/ospreystage/weights/version_plan.hpp
@@ -14,12 +14,12 @@
 
 /// The versions that one engine may have to switch to.
 ///
-/// A version may be named while the one before it is still on its way. Both
+/// A version may be published while the one before it is still on its way. Both
 /// are fetched, the older one first, since it is due first; the newest one
 /// that is held is what the engine gets.
 class version_plan {
   public:
-    /// A version that was named, and how far this agent has got with it.
+    /// A version that was published, and how far this agent has got with it.
     struct version_record {
         std::uint64_t number = 0;
         digest id; ///< Of its manifest; empty until that is known.
@@ -29,9 +29,10 @@
 
     // ---- Events ------------------------------------------------------------
 
-    /// A version was named at `named`; if that was not seen, the time is a
-    /// guess that a later call replaces. Returns true if it is new.
-    bool on_named(std::uint64_t number, instant named, bool saw_naming);
+    /// A version was published at `published_at`; if that was not observed, the
+    /// time is a guess that a later call replaces. Returns true if it is new.
+    bool on_published(std::uint64_t number, instant published_at,
+                      bool is_observed);
 
     void on_manifest(std::uint64_t number, manifest description);
 
@@ -51,11 +52,11 @@
     [[nodiscard]] const version_record* target() const;
 
     /// Returns the versions to fetch, those that are due first before others.
-    [[nodiscard]] std::vector<wanted_version> wanted() const;
+    [[nodiscard]] std::vector<requested_version> requested() const;
 
-    /// Returns when the oldest version was named that is newer than the one in
-    /// use; its time limit ends first.
-    [[nodiscard]] std::optional<instant> oldest_naming() const;
+    /// Returns when the oldest version was published that is newer than the one
+    /// in use; its time limit ends first.
+    [[nodiscard]] std::optional<instant> oldest_publication() const;
 
     [[nodiscard]] std::uint64_t in_use() const noexcept { return in_use_; }
 
@@ -64,7 +65,7 @@
 
   private:
     std::map<std::uint64_t, version_record> versions_;
-    std::map<std::uint64_t, instant> named_; ///< Newer than the one in use.
+    std::map<std::uint64_t, instant> published_; ///< Newer than the one in use.
     std::uint64_t in_use_ = 0;
 };
 
--- a/src/app/agent_process.cpp
+++ b/src/app/agent_process.cpp
@@ -172,14 +172,14 @@
         serve({});
         return;
     }
-    std::vector<wanted_version> versions;
+    std::vector<requested_version> versions;
     for (const deployment& entry : wanted())
         versions.push_back({entry.version, entry.priority});
-    distribution_->want(versions);
+    distribution_->request_versions(versions);
 }
 
 void agent::serve(const std::vector<digest>& held) {
-    gate_service served;
+    scheduled_service served;
     served.engine = has_engine();
     served.versions = held;
     const auto document = configuration_.document();
@@ -197,11 +197,11 @@
 engine_target agent::target(const engine_state& state) const {
     engine_target out;
     for (const digest& version : state.held) {
-        if (attempts_.uses(version))
+        if (attempts_.is_version_in_use(version))
             out.in_use.insert(version);
     }
     for (const deployment& entry : wanted()) {
-        out.wanted.push_back(entry.version);
+        out.requested.push_back(entry.version);
         if (distribution_->complete(entry.version))
             out.complete.insert(entry.version);
     }
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -175,7 +175,7 @@
         return out;
     }
     merge_into(ping.members, now, out);
-    out.emplace_back(revisions_heard{ping.sender, ping.document, ping.held, 0});
+    out.emplace_back(revision_report{ping.sender, ping.document, ping.held, 0});
     if (ping.members.empty())
         answer_question(from, std::move(answer), out);
     else if (ping.target.empty())
@@ -193,7 +193,7 @@
     const std::uint32_t counter = table_.self().counter;
     merge_into(ack.members, now, out);
     out.emplace_back(
-        revisions_heard{ack.sender, ack.document, ack.held, ack.sequence});
+        revision_report{ack.sender, ack.document, ack.held, ack.sequence});
     if (table_.self().counter != counter)
         ping(from, ack.sender.name, {}, out); // Refutes at once.
     if (probe_ && ack.sequence == probe_->sequence &&
@@ -212,7 +212,7 @@
     return out;
 }
 
-membership::actions membership::question(const std::string& name) {
+membership::actions membership::query(const std::string& name) {
     actions out;
     const auto to = address_of(name);
     if (!to)
@@ -233,8 +233,8 @@
     return out;
 }
 
-membership::actions membership::listed(const std::vector<listed_vm>& vms,
-                                       instant now) {
+membership::actions membership::on_vm_list(const std::vector<listed_vm>& vms,
+                                           instant now) {
     actions out;
     absl::flat_hash_map<std::string, bool> leaving;
     for (const listed_vm& item : vms)
--- a/src/fleet/membership_service.cpp
+++ b/src/fleet/membership_service.cpp
@@ -91,12 +91,12 @@
     apply(detector_.merge(heard, steady::now()));
 }
 
-void membership_service::listed(const std::vector<listed_vm>& vms) {
-    apply(detector_.listed(vms, steady::now()));
+void membership_service::on_vm_list(const std::vector<listed_vm>& vms) {
+    apply(detector_.on_vm_list(vms, steady::now()));
 }
 
-std::uint64_t membership_service::question(const std::string& name) {
-    const membership::actions actions = detector_.question(name);
+std::uint64_t membership_service::query(const std::string& name) {
+    const membership::actions actions = detector_.query(name);
     if (actions.empty())
         return 0;
     apply(actions);
@@ -131,7 +131,7 @@
         handler(action.by);
 }
 
-void membership_service::apply(const revisions_heard& action) {
+void membership_service::apply(const revision_report& action) {
     for (const auto& handler : revisions_handlers_)
         handler(action);
 }
--- a/src/http/web_client.cpp
+++ b/src/http/web_client.cpp
@@ -47,7 +47,7 @@
         return "not_connected";
     case call_end::no_answer:
         return "no_answer";
-    case call_end::cut:
+    case call_end::truncated:
         return "cut";
     case call_end::malformed:
         return "malformed";
@@ -125,7 +125,7 @@
     if (found == calls_.end())
         return;
     found->second->is_cancelled = true;
-    finish(found->second->connection, call_end::cut);
+    finish(found->second->connection, call_end::truncated);
 }
 
 void web_client::set_reading(call_id call, bool wanted) {
@@ -139,7 +139,8 @@
     return found == counts_.end() ? 0 : found->second;
 }
 
-bool web_client::has_room(const address& server, std::size_t limit) const {
+bool web_client::has_free_connection(const address& server,
+                                     std::size_t limit) const {
     if (limit == 0 || connections(server) < limit)
         return true;
     const auto idle = idle_.find(to_string(server));
@@ -316,7 +317,7 @@
     if (is_whole)
         finish(id, call_end::complete);
     else
-        finish(id, has_head ? call_end::cut : call_end::no_answer);
+        finish(id, has_head ? call_end::truncated : call_end::no_answer);
 }
 
 void web_client::finish(std::uint64_t id, call_end end) {
--- a/src/requests/gate.cpp
+++ b/src/requests/attempt_scheduler.cpp
@@ -1,32 +1,33 @@
-#include <ospreystage/requests/gate.hpp>
+#include <ospreystage/requests/attempt_scheduler.hpp>
 
 #include <algorithm>
 
 namespace ospreystage {
 
-gate::gate(process_id self, const settings& configuration)
+attempt_scheduler::attempt_scheduler(process_id self,
+                                     const settings& configuration)
     : self_(std::move(self)), capacity_(configuration.backend_server.capacity),
       queue_limit_(configuration.backend_server.queue) {}
 
 // ---- Observers -------------------------------------------------------------
 
-std::uint32_t gate::running() const noexcept {
+std::uint32_t attempt_scheduler::running() const noexcept {
     return static_cast<std::uint32_t>(running_.size());
 }
 
-std::uint32_t gate::queued() const noexcept {
+std::uint32_t attempt_scheduler::queued() const noexcept {
     return static_cast<std::uint32_t>(queue_.size());
 }
 
-bool gate::idle() const noexcept {
+bool attempt_scheduler::idle() const noexcept {
     return running_.empty() && queue_.empty();
 }
 
-bool gate::is_leaving() const noexcept {
+bool attempt_scheduler::is_leaving() const noexcept {
     return leaving_;
 }
 
-bool gate::uses(const digest& version) const {
+bool attempt_scheduler::is_version_in_use(const digest& version) const {
     const auto needs = [&](const attempt_id& attempt) {
         return attempts_.at(attempt).order.version == version;
     };
@@ -35,7 +36,7 @@
                        [&](const auto& place) { return needs(place.second); });
 }
 
-nlohmann::json gate::dump() const {
+nlohmann::json attempt_scheduler::dump() const {
     nlohmann::json state;
     state["running"] = nlohmann::json::array();
     for (const attempt_id& attempt : running_)
@@ -60,7 +61,8 @@
 
 // ---- What may be served ----------------------------------------------------
 
-gate::actions gate::set_service(gate_service served, instant now) {
+attempt_scheduler::actions
+attempt_scheduler::set_service(scheduled_service served, instant now) {
     served_ = std::move(served);
     actions out;
     std::vector<std::pair<attempt_id, refusal>> gone;
@@ -74,14 +76,15 @@
     return out;
 }
 
-void gate::set_leaving() {
+void attempt_scheduler::set_leaving() {
     leaving_ = true;
 }
 
 // ---- Entries ---------------------------------------------------------------
 
-gate::actions gate::on_run_order(const process_id& entry, std::uint64_t epoch,
-                                 const run_order& order, instant now) {
+attempt_scheduler::actions
+attempt_scheduler::on_run_order(const process_id& entry, std::uint64_t epoch,
+                                const run_order& order, instant now) {
     actions out;
     const auto known = attempts_.find(order.attempt);
     if (known != attempts_.end()) {
@@ -107,8 +110,9 @@
     return out;
 }
 
-gate::actions gate::on_seal_order(const process_id& entry,
-                                  const seal_order& order, instant now) {
+attempt_scheduler::actions
+attempt_scheduler::on_seal_order(const process_id& entry,
+                                 const seal_order& order, instant now) {
     actions out;
     record_entry(entry, 0);
     const auto known = attempts_.find(order.attempt);
@@ -123,20 +127,21 @@
         seal_queued(order.attempt, refusal::sealed, now, out);
         break;
     case phase::sealed:
-        out.push_back(
-            gate_send{entry, run_refused{order.attempt, refusal::sealed, 0}});
+        out.push_back(send_to_entry{
+            entry, run_refused{order.attempt, refusal::sealed, 0}});
         break;
     case phase::running:
     case phase::ended:
-        out.push_back(gate_send{entry, seal_failed{order.attempt}});
+        out.push_back(send_to_entry{entry, seal_failed{order.attempt}});
         break;
     }
     start_queued(now, out);
     return out;
 }
 
-gate::actions gate::on_cancel_order(const process_id& entry,
-                                    const cancel_order& order, instant now) {
+attempt_scheduler::actions
+attempt_scheduler::on_cancel_order(const process_id& entry,
+                                   const cancel_order& order, instant now) {
     actions out;
     const auto known = attempts_.find(order.attempt);
     if (known == attempts_.end() || known->second.state == phase::queued)
@@ -144,14 +149,15 @@
     attempt_record& record = known->second;
     if (record.state != phase::running || record.order.non_idempotent)
         return out;
-    out.push_back(gate_cancel{order.attempt});
+    out.push_back(cancel_attempt{order.attempt});
     finish(order.attempt, record, now);
     start_queued(now, out);
     return out;
 }
 
-gate::link_result gate::on_link_up(const process_id& entry, std::uint64_t epoch,
-                                   instant now) {
+attempt_scheduler::link_result
+attempt_scheduler::on_link_up(const process_id& entry, std::uint64_t epoch,
+                              instant now) {
     link_result result;
     const entry_record& latest = record_entry(entry, epoch);
     if (latest.entry != entry || latest.epoch != epoch)
@@ -176,15 +182,16 @@
     for (const attempt_id& attempt : queued)
         seal_queued(attempt, refusal::stale_epoch, now, result.effects);
     for (const attempt_id& attempt : cancelled) {
-        result.effects.push_back(gate_cancel{attempt});
+        result.effects.push_back(cancel_attempt{attempt});
         finish(attempt, attempts_.at(attempt), now);
     }
     start_queued(now, result.effects);
     return result;
 }
 
-gate::actions gate::on_link_down(const process_id& entry, std::uint64_t epoch,
-                                 instant now) {
+attempt_scheduler::actions
+attempt_scheduler::on_link_down(const process_id& entry, std::uint64_t epoch,
+                                instant now) {
     // The entry may come back on a higher epoch: nothing is decided here, so
     // that running attempts end whole. Deadlines bound what is left over.
     static_cast<void>(entry);
@@ -195,9 +202,10 @@
 
 // ---- Back end --------------------------------------------------------------
 
-gate::actions gate::on_begin(const attempt_id& attempt, std::uint16_t status,
-                             const std::string& content_type,
-                             const digest& version, instant now) {
+attempt_scheduler::actions
+attempt_scheduler::on_begin(const attempt_id& attempt, std::uint16_t status,
+                            const std::string& content_type,
+                            const digest& version, instant now) {
     actions out;
     attempt_record* record = find_running(attempt);
     if (record == nullptr)
@@ -205,7 +213,7 @@
     const bool wrong_version =
         served_.engine && version != record->order.version;
     if (wrong_version || record->begun) {
-        out.push_back(gate_cancel{attempt});
+        out.push_back(cancel_attempt{attempt});
         fail_running(attempt, *record,
                      wrong_version ? "version differs" : "answer began twice",
                      now, out);
@@ -216,14 +224,15 @@
     return out;
 }
 
-gate::actions gate::on_part(const attempt_id& attempt, std::string data,
-                            instant now) {
+attempt_scheduler::actions attempt_scheduler::on_part(const attempt_id& attempt,
+                                                      std::string data,
+                                                      instant now) {
     actions out;
     attempt_record* record = find_running(attempt);
     if (record == nullptr)
         return out;
     if (!record->begun) {
-        out.push_back(gate_cancel{attempt});
+        out.push_back(cancel_attempt{attempt});
         fail_running(attempt, *record, "part before begin", now, out);
         return out;
     }
@@ -231,7 +240,8 @@
     return out;
 }
 
-gate::actions gate::on_end(const attempt_id& attempt, instant now) {
+attempt_scheduler::actions attempt_scheduler::on_end(const attempt_id& attempt,
+                                                     instant now) {
     actions out;
     attempt_record* record = find_running(attempt);
     if (record == nullptr)
@@ -246,8 +256,9 @@
     return out;
 }
 
-gate::actions gate::on_failed(const attempt_id& attempt, bool reached,
-                              const std::string& detail, instant now) {
+attempt_scheduler::actions
+attempt_scheduler::on_failed(const attempt_id& attempt, bool reached,
+                             const std::string& detail, instant now) {
     actions out;
     attempt_record* record = find_running(attempt);
     if (record == nullptr)
@@ -261,7 +272,7 @@
     drop_answer(*record);
     forget_later(attempt, *record, now);
     ++refused_total_;
-    out.push_back(gate_send{
+    out.push_back(send_to_entry{
         attempt.entry, run_refused{attempt, refusal::back_end_unreachable, 0}});
     start_queued(now, out);
     return out;
@@ -269,7 +280,7 @@
 
 // ---- Time ------------------------------------------------------------------
 
-gate::actions gate::tick(instant now) {
+attempt_scheduler::actions attempt_scheduler::tick(instant now) {
     actions out;
     expire_queued(now, out);
     stop_overdue(now, out);
--- a/src/requests/gate_details.cpp
+++ b/src/requests/attempt_scheduler_details.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/requests/gate.hpp>
+#include <ospreystage/requests/attempt_scheduler.hpp>
 
 #include <algorithm>
 
@@ -31,9 +31,9 @@
 } // namespace
 // ---- Details ---------------------------------------------------------------
 
-std::optional<refusal> gate::find_refusal(const process_id& entry,
-                                          std::uint64_t epoch,
-                                          const run_order& order) const {
+std::optional<refusal>
+attempt_scheduler::find_refusal(const process_id& entry, std::uint64_t epoch,
+                                const run_order& order) const {
     if (order.agent != self_)
         return refusal::wrong_incarnation;
     const auto found = entries_.find(entry.name);
@@ -61,7 +61,7 @@
 }
 
 std::optional<refusal>
-gate::find_service_refusal(const run_order& order) const {
+attempt_scheduler::find_service_refusal(const run_order& order) const {
     if (!served_.in_force || order.service != served_.name)
         return refusal::not_in_force;
     if (served_.engine && !contains(served_.versions, order.version))
@@ -69,15 +69,16 @@
     return std::nullopt;
 }
 
-gate::attempt_record* gate::find_running(const attempt_id& attempt) {
+attempt_scheduler::attempt_record*
+attempt_scheduler::find_running(const attempt_id& attempt) {
     const auto found = attempts_.find(attempt);
     if (found == attempts_.end() || found->second.state != phase::running)
         return nullptr;
     return &found->second;
 }
 
-gate::entry_record& gate::record_entry(const process_id& entry,
-                                       std::uint64_t epoch) {
+attempt_scheduler::entry_record&
+attempt_scheduler::record_entry(const process_id& entry, std::uint64_t epoch) {
     entry_record& record = entries_[entry.name];
     if (entry.incarnation > record.entry.incarnation)
         record = entry_record{entry, epoch, 0};
@@ -86,12 +87,12 @@
     return record;
 }
 
-void gate::refuse(const run_order& order, refusal reason, instant now,
-                  actions& out) {
+void attempt_scheduler::refuse(const run_order& order, refusal reason,
+                               instant now, actions& out) {
     ++refused_total_;
     const milliseconds retry_after =
         reason == refusal::overloaded ? overload_retry_after : milliseconds{0};
-    out.push_back(gate_send{
+    out.push_back(send_to_entry{
         order.attempt.entry,
         run_refused{order.attempt, reason,
                     static_cast<std::uint32_t>(retry_after.count())}});
@@ -105,24 +106,25 @@
     forget_later(order.attempt, inserted->second, now);
 }
 
-void gate::seal_queued(const attempt_id& attempt, refusal reason, instant now,
-                       actions& out) {
+void attempt_scheduler::seal_queued(const attempt_id& attempt, refusal reason,
+                                    instant now, actions& out) {
     attempt_record& record = attempts_.at(attempt);
     remove_from_queue(attempt);
     record.state = phase::sealed;
     record.order.body.clear();
     ++refused_total_;
     forget_later(attempt, record, now);
-    out.push_back(gate_send{attempt.entry, run_refused{attempt, reason, 0}});
+    out.push_back(
+        send_to_entry{attempt.entry, run_refused{attempt, reason, 0}});
 }
 
-void gate::forget_later(const attempt_id& attempt, attempt_record& record,
-                        instant now) {
+void attempt_scheduler::forget_later(const attempt_id& attempt,
+                                     attempt_record& record, instant now) {
     record.forget_at = std::max(now, record.deadline) + history_slack;
     forget_.emplace(record.forget_at, attempt);
 }
 
-void gate::remove_from_queue(const attempt_id& attempt) {
+void attempt_scheduler::remove_from_queue(const attempt_id& attempt) {
     const auto found =
         std::find_if(queue_.begin(), queue_.end(), [&](const auto& place) {
             return place.second == attempt;
@@ -131,26 +133,30 @@
         queue_.erase(found);
 }
 
-void gate::finish(const attempt_id& attempt, attempt_record& record,
-                  instant now) {
+void attempt_scheduler::finish(const attempt_id& attempt,
+                               attempt_record& record, instant now) {
     running_.erase(attempt);
     record.state = phase::ended;
     forget_later(attempt, record, now);
 }
 
-void gate::fail_running(const attempt_id& attempt, attempt_record& record,
-                        const std::string& detail, instant now, actions& out) {
+void attempt_scheduler::fail_running(const attempt_id& attempt,
+                                     attempt_record& record,
+                                     const std::string& detail, instant now,
+                                     actions& out) {
     emit(record, run_failed{attempt, detail}, out);
     finish(attempt, record, now);
     start_queued(now, out);
 }
 
-void gate::emit(attempt_record& record, message frame, actions& out) {
+void attempt_scheduler::emit(attempt_record& record, message frame,
+                             actions& out) {
     keep_frame(record, frame);
-    out.push_back(gate_send{record.order.attempt.entry, std::move(frame)});
+    out.push_back(send_to_entry{record.order.attempt.entry, std::move(frame)});
 }
 
-void gate::keep_frame(attempt_record& record, const message& frame) {
+void attempt_scheduler::keep_frame(attempt_record& record,
+                                   const message& frame) {
     if (!record.answer_kept)
         return;
     const std::size_t bytes = frame_bytes(frame);
@@ -163,14 +169,14 @@
     kept_bytes_ += bytes;
 }
 
-void gate::drop_answer(attempt_record& record) {
+void attempt_scheduler::drop_answer(attempt_record& record) {
     kept_bytes_ -= record.answer_bytes;
     record.answer_bytes = 0;
     record.answer.clear();
     record.answer_kept = false;
 }
 
-void gate::start_queued(instant now, actions& out) {
+void attempt_scheduler::start_queued(instant now, actions& out) {
     while (running_.size() < capacity_ && !queue_.empty()) {
         const attempt_id attempt = queue_.begin()->second;
         attempt_record& record = attempts_.at(attempt);
@@ -184,12 +190,12 @@
         ++started_total_;
         const auto left =
             std::chrono::duration_cast<milliseconds>(record.deadline - now);
-        out.push_back(gate_start{record.order, left});
+        out.push_back(start_attempt{record.order, left});
         record.order.body.clear();
     }
 }
 
-void gate::expire_queued(instant now, actions& out) {
+void attempt_scheduler::expire_queued(instant now, actions& out) {
     std::vector<attempt_id> expired;
     for (const auto& [place, attempt] : queue_) {
         if (attempts_.at(attempt).deadline <= now)
@@ -199,7 +205,7 @@
         seal_queued(attempt, refusal::expired, now, out);
 }
 
-void gate::stop_overdue(instant now, actions& out) {
+void attempt_scheduler::stop_overdue(instant now, actions& out) {
     std::vector<attempt_id> overdue;
     for (const attempt_id& attempt : running_) {
         const attempt_record& record = attempts_.at(attempt);
@@ -207,13 +213,13 @@
             overdue.push_back(attempt);
     }
     for (const attempt_id& attempt : overdue) {
-        out.push_back(gate_cancel{attempt});
+        out.push_back(cancel_attempt{attempt});
         fail_running(attempt, attempts_.at(attempt), "deadline passed", now,
                      out);
     }
 }
 
-void gate::forget_old(instant now) {
+void attempt_scheduler::forget_old(instant now) {
     while (!forget_.empty() && forget_.begin()->first <= now) {
         const attempt_id attempt = forget_.begin()->second;
         forget_.erase(forget_.begin());
@@ -229,17 +235,18 @@
     }
 }
 
-void gate::replay(const attempt_id& attempt, const attempt_record& record,
-                  actions& out) const {
+void attempt_scheduler::replay(const attempt_id& attempt,
+                               const attempt_record& record,
+                               actions& out) const {
     if (record.state != phase::running && record.state != phase::ended)
         return;
     if (!record.answer_kept) {
-        out.push_back(gate_send{attempt.entry,
-                                run_failed{attempt, "answer was not kept"}});
+        out.push_back(send_to_entry{
+            attempt.entry, run_failed{attempt, "answer was not kept"}});
         return;
     }
     for (const message& frame : record.answer)
-        out.push_back(gate_send{attempt.entry, frame});
+        out.push_back(send_to_entry{attempt.entry, frame});
 }
 
 } // namespace ospreystage
--- a/src/requests/attempt_service.cpp
+++ b/src/requests/attempt_service.cpp
@@ -15,7 +15,8 @@
 
 attempt_service::attempt_service(kernel& core, const settings& configuration)
     : core_(core), configuration_(configuration),
-      links_(core.find<links>("links")), gate_(links_.self(), configuration),
+      links_(core.find<links>("links")),
+      scheduler_(links_.self(), configuration),
       back_end_(core, configuration.backend_server.url,
                 [this](const attempt_id& attempt, back_end_event event) {
                     on_back_end(attempt, std::move(event));
@@ -23,7 +24,8 @@
 
 void attempt_service::start() {
     links_.set_started_source([this](const link_peer& peer) {
-        auto result = gate_.on_link_up(peer.process, peer.epoch, steady::now());
+        auto result =
+            scheduler_.on_link_up(peer.process, peer.epoch, steady::now());
         after_greeting_[static_cast<std::uint64_t>(peer.connection)] =
             std::move(result.effects);
         return std::move(result.started);
@@ -34,7 +36,7 @@
         entries_[peer.process] = peer.connection;
         const auto found =
             after_greeting_.find(static_cast<std::uint64_t>(peer.connection));
-        gate::actions effects = std::move(found->second);
+        attempt_scheduler::actions effects = std::move(found->second);
         after_greeting_.erase(found);
         perform(std::move(effects));
         links_.reply(peer.connection, make_report());
@@ -45,39 +47,40 @@
         const auto found = entries_.find(peer.process);
         if (found != entries_.end() && found->second == peer.connection)
             entries_.erase(found);
-        perform(gate_.on_link_down(peer.process, peer.epoch, steady::now()));
+        perform(
+            scheduler_.on_link_down(peer.process, peer.epoch, steady::now()));
     });
     links_.on<run_order>([this](const link_peer& peer, const run_order& order) {
-        perform(
-            gate_.on_run_order(peer.process, peer.epoch, order, steady::now()));
+        perform(scheduler_.on_run_order(peer.process, peer.epoch, order,
+                                        steady::now()));
+    });
+    links_.on<seal_order>([this](const link_peer& peer,
+                                 const seal_order& order) {
+        perform(scheduler_.on_seal_order(peer.process, order, steady::now()));
+    });
+    links_.on<cancel_order>([this](const link_peer& peer,
+                                   const cancel_order& order) {
+        perform(scheduler_.on_cancel_order(peer.process, order, steady::now()));
     });
-    links_.on<seal_order>(
-        [this](const link_peer& peer, const seal_order& order) {
-            perform(gate_.on_seal_order(peer.process, order, steady::now()));
-        });
-    links_.on<cancel_order>(
-        [this](const link_peer& peer, const cancel_order& order) {
-            perform(gate_.on_cancel_order(peer.process, order, steady::now()));
-        });
     core_.every("attempts", tick_interval,
-                [this] { perform(gate_.tick(steady::now())); });
+                [this] { perform(scheduler_.tick(steady::now())); });
     core_.every("attempts", report_interval, [this] { report_load(); });
 }
 
 bool attempt_service::idle() const noexcept {
-    return gate_.idle();
+    return scheduler_.idle();
 }
 
-bool attempt_service::uses(const digest& version) const {
-    return gate_.uses(version);
+bool attempt_service::is_version_in_use(const digest& version) const {
+    return scheduler_.is_version_in_use(version);
 }
 
 std::uint32_t attempt_service::running() const noexcept {
-    return gate_.running();
+    return scheduler_.running();
 }
 
 nlohmann::json attempt_service::dump() const {
-    nlohmann::json state = gate_.dump();
+    nlohmann::json state = scheduler_.dump();
     state["entries"] = entries_.size();
     state["back_end"] = {{"running", load_.running},
                          {"queued", load_.queued},
@@ -85,9 +88,9 @@
     return state;
 }
 
-void attempt_service::set_service(gate_service served) {
+void attempt_service::set_service(scheduled_service served) {
     served_ = served;
-    perform(gate_.set_service(std::move(served), steady::now()));
+    perform(scheduler_.set_service(std::move(served), steady::now()));
 }
 
 void attempt_service::set_load(back_end_load load) {
@@ -95,7 +98,7 @@
 }
 
 void attempt_service::set_leaving() {
-    gate_.set_leaving();
+    scheduler_.set_leaving();
     report_load();
 }
 
@@ -105,36 +108,37 @@
     std::visit(
         impl::overloaded{
             [&](back_end_begin& begin) {
-                perform(gate_.on_begin(attempt, begin.status,
-                                       begin.content_type, begin.version, now));
+                perform(scheduler_.on_begin(attempt, begin.status,
+                                            begin.content_type, begin.version,
+                                            now));
             },
             [&](back_end_part& part) {
-                perform(gate_.on_part(attempt, std::move(part.data), now));
+                perform(scheduler_.on_part(attempt, std::move(part.data), now));
             },
-            [&](back_end_end&) { perform(gate_.on_end(attempt, now)); },
+            [&](back_end_end&) { perform(scheduler_.on_end(attempt, now)); },
             [&](back_end_failed& failed) {
-                perform(gate_.on_failed(attempt, failed.reached, failed.detail,
-                                        now));
+                perform(scheduler_.on_failed(attempt, failed.reached,
+                                             failed.detail, now));
             },
         },
         event);
 }
 
-void attempt_service::perform(gate::actions actions) {
-    for (gate_action& each : actions) {
-        std::visit(impl::overloaded{
-                       [&](const gate_start& start) {
-                           if (served_.engine)
-                               prefixes_.note(start.order.version,
-                                              start.order.body);
-                           back_end_.start(start.order, start.deadline);
-                       },
-                       [&](const gate_cancel& cancel) {
-                           back_end_.cancel(cancel.attempt);
-                       },
-                       [&](const gate_send& out) { send(out.entry, out.body); },
-                   },
-                   each);
+void attempt_service::perform(attempt_scheduler::actions actions) {
+    for (scheduler_action& each : actions) {
+        std::visit(
+            impl::overloaded{
+                [&](const start_attempt& start) {
+                    if (served_.engine)
+                        prefixes_.note(start.order.version, start.order.body);
+                    back_end_.start(start.order, start.deadline);
+                },
+                [&](const cancel_attempt& cancel) {
+                    back_end_.cancel(cancel.attempt);
+                },
+                [&](const send_to_entry& out) { send(out.entry, out.body); },
+            },
+            each);
     }
 }
 
@@ -156,12 +160,12 @@
     load_report report;
     report.agent = links_.self();
     report.service = served_.name;
-    // The back end's own figures lag; nothing but this gate gives it work.
-    report.running = gate_.running();
-    report.queued = gate_.queued();
+    // The back end's own figures lag; nothing but this scheduler gives it work.
+    report.running = scheduler_.running();
+    report.queued = scheduler_.queued();
     report.capacity = configuration_.backend_server.capacity;
     report.age_ms = 0;
-    report.leaving = gate_.is_leaving();
+    report.leaving = scheduler_.is_leaving();
     report.versions = served_.versions;
     report.prefixes = prefixes_.translate(load_.prefixes);
     return report;
--- a/src/requests/placement.cpp
+++ b/src/requests/chunk_assignment.cpp
@@ -1,5 +1,5 @@
 #include <ospreystage/core/stable_hash.hpp>
-#include <ospreystage/requests/placement.hpp>
+#include <ospreystage/requests/chunk_assignment.hpp>
 
 #include <absl/container/flat_hash_map.h>
 
@@ -13,7 +13,7 @@
 /// Readers of a data centre at least.
 constexpr std::size_t min_readers_per_data_centre = 2;
 /// Agents that may stand in for a reader, per reader.
-constexpr std::size_t stand_ins_per_reader = 1;
+constexpr std::size_t backups_per_reader = 1;
 constexpr std::size_t local_neighbours = 18;
 constexpr std::size_t remote_neighbours = 6;
 constexpr std::uint16_t max_rank = chunk_role::none - 1;
@@ -24,10 +24,11 @@
 
 } // namespace
 
-placement::placement(const distribution_strategy& strategy,
-                     std::vector<swarm_member> members, const std::string& self,
-                     const digest& version, std::uint32_t chunks,
-                     const std::vector<std::string>& silent)
+chunk_assignment::chunk_assignment(const distribution_strategy& strategy,
+                                   std::vector<swarm_member> members,
+                                   const std::string& self,
+                                   const digest& version, std::uint32_t chunks,
+                                   const std::vector<std::string>& silent)
     : version_hash_(stable_hash(version)), roles_(chunks) {
     std::sort(members.begin(), members.end(),
               [](const swarm_member& left, const swarm_member& right) {
@@ -49,7 +50,8 @@
     std::visit([this](const auto& chosen) { place(chosen); }, strategy);
 }
 
-std::vector<std::string> placement::remote_owners(std::uint32_t index) const {
+std::vector<std::string>
+chunk_assignment::remote_owners(std::uint32_t index) const {
     std::vector<std::size_t> best(data_centres_, members_.size());
     if (restricted_ || self_ == members_.size())
         return {};
@@ -67,19 +69,19 @@
     return owners;
 }
 
-bool placement::is_local(const std::string& peer) const {
+bool chunk_assignment::is_local(const std::string& peer) const {
     const std::size_t position = position_of(peer);
     return position != members_.size() && self_ != members_.size() &&
            members_[position].data_centre == members_[self_].data_centre;
 }
 
-bool placement::may_ask(const std::string& peer) const {
+bool chunk_assignment::may_ask(const std::string& peer) const {
     if (restricted_)
         return contains(sources_, peer);
     return position_of(peer) != members_.size();
 }
 
-void placement::place(const rendezvous_strategy& strategy) {
+void chunk_assignment::place(const rendezvous_strategy& strategy) {
     choose_neighbours();
     for (std::uint32_t index = 0; index < roles_.size(); ++index)
         roles_[index] = role_of(index);
@@ -87,7 +89,7 @@
     target_readers_ = strategy.readers;
 }
 
-void placement::place(const direct_strategy& /*strategy*/) {
+void chunk_assignment::place(const direct_strategy& /*strategy*/) {
     restricted_ = true;
     readers_.clear();
     is_reader_ = true;
@@ -95,7 +97,7 @@
         role.origin_rank = 0;
 }
 
-void placement::place(const tree_strategy& strategy) {
+void chunk_assignment::place(const tree_strategy& strategy) {
     restricted_ = true;
     readers_.clear();
     is_reader_ = self_ == 0;
@@ -113,7 +115,7 @@
             neighbours_.push_back(members_[child].name);
 }
 
-void placement::choose_readers(const std::vector<std::string>& silent) {
+void chunk_assignment::choose_readers(const std::vector<std::string>& silent) {
     const std::size_t share =
         (target_readers_ + data_centres_ - 1) / data_centres_;
     const std::size_t wanted = std::max(min_readers_per_data_centre, share);
@@ -129,7 +131,7 @@
     for (const std::size_t member : order) {
         const std::uint32_t centre = members_[member].data_centre;
         const bool is_silent = contains(silent, members_[member].name);
-        if (known[centre] < wanted * (1 + stand_ins_per_reader)) {
+        if (known[centre] < wanted * (1 + backups_per_reader)) {
             ++known[centre];
             readers_.push_back(members_[member].name);
             is_reader_ = is_reader_ || member == self_;
@@ -141,7 +143,7 @@
     }
 }
 
-void placement::choose_neighbours() {
+void chunk_assignment::choose_neighbours() {
     struct candidate {
         std::uint64_t weight;
         std::size_t member;
@@ -169,7 +171,7 @@
     take(remote, remote_neighbours);
 }
 
-chunk_role placement::role_of(std::uint32_t index) const {
+chunk_role chunk_assignment::role_of(std::uint32_t index) const {
     chunk_role role;
     const std::vector<std::size_t> order = reader_order(index);
     const auto found = std::find(order.begin(), order.end(), self_);
@@ -194,7 +196,8 @@
     return role;
 }
 
-std::vector<std::size_t> placement::reader_order(std::uint32_t index) const {
+std::vector<std::size_t>
+chunk_assignment::reader_order(std::uint32_t index) const {
     std::vector<std::size_t> order = active_readers_;
     std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         return weight(a, index) > weight(b, index);
@@ -212,12 +215,13 @@
     return first;
 }
 
-std::uint64_t placement::weight(std::size_t member,
-                                std::uint32_t index) const noexcept {
+std::uint64_t chunk_assignment::weight(std::size_t member,
+                                       std::uint32_t index) const noexcept {
     return mix_hash(mix_hash(version_hash_, index), members_[member].hash);
 }
 
-std::size_t placement::position_of(const std::string& name) const noexcept {
+std::size_t
+chunk_assignment::position_of(const std::string& name) const noexcept {
     const auto found =
         std::lower_bound(members_.begin(), members_.end(), name,
                          [](const placed_member& entry, const std::string& id) {
--- a/src/requests/claim_service.cpp
+++ b/src/requests/claim_service.cpp
@@ -17,8 +17,8 @@
 
 claim_service::claim_service(kernel& core, const settings& configuration)
     : core_(core), links_(core.find<links>("links")),
-      ledger_(links_.self(), witness_names(configuration),
-              configuration.cluster.claim_retention, steady::now()) {}
+      table_(links_.self(), witness_names(configuration),
+             configuration.cluster.claim_retention, steady::now()) {}
 
 void claim_service::start() {
     links_.on<claim_request>(
@@ -32,34 +32,34 @@
     links_.on<recover_request>(
         [this](const link_peer& peer, const recover_request& request) {
             for (const recover_reply& page :
-                 ledger_.on_recover_request(request, steady::now()))
+                 table_.on_recover_request(request, steady::now()))
                 links_.reply(peer.connection, page);
         });
     links_.on<recover_reply>(
         [this](const link_peer&, const recover_reply& reply) {
-            ledger_.on_recover_reply(reply, steady::now());
+            table_.on_recover_reply(reply, steady::now());
         });
     core_.every("claims", tick_interval, [this] {
-        for (const claim_ledger::recovery_step& step :
-             ledger_.tick(steady::now()))
+        for (const claim_table::recovery_step& step :
+             table_.tick(steady::now()))
             links_.send(step.witness, step.body);
     });
 }
 
 claim_reply claim_service::vote(const claim_request& request) {
-    return ledger_.on_claim(request, steady::now());
+    return table_.on_claim(request, steady::now());
 }
 
 void claim_service::release(const claim_release& given) {
-    ledger_.on_release(given, steady::now());
+    table_.on_release(given, steady::now());
 }
 
 nlohmann::json claim_service::dump() const {
-    return ledger_.dump(steady::now());
+    return table_.dump(steady::now());
 }
 
 void claim_service::recovered_fresh() {
-    ledger_.recovered_fresh();
+    table_.recovered_fresh();
 }
 
 } // namespace ospreystage
--- a/src/requests/claim_ledger.cpp
+++ b/src/requests/claim_table.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/requests/claim_ledger.hpp>
+#include <ospreystage/requests/claim_table.hpp>
 #include <ospreystage/requests/claim_tally.hpp>
 
 #include <algorithm>
@@ -20,15 +20,14 @@
 
 } // namespace
 
-claim_ledger::claim_ledger(process_id self, std::vector<std::string> witnesses,
-                           milliseconds retention, instant now,
-                           std::size_t limit)
+claim_table::claim_table(process_id self, std::vector<std::string> witnesses,
+                         milliseconds retention, instant now, std::size_t limit)
     : self_(std::move(self)), witnesses_(std::move(witnesses)),
       retention_(retention), limit_(limit), started_(now), next_request_(now) {}
 
 // ---- Observers -------------------------------------------------------------
 
-bool claim_ledger::is_recovered(instant now) const {
+bool claim_table::is_recovered(instant now) const {
     if (fresh_ || now - started_ >= retention_)
         return true;
     if (witnesses_.size() < 2)
@@ -39,7 +38,7 @@
         });
 }
 
-bool claim_ledger::may_vote(const claim_key& key, instant now) const {
+bool claim_table::may_vote(const claim_key& key, instant now) const {
     if (is_recovered(now))
         return true;
     const std::vector<std::string> voters = claim_voters(key, witnesses_);
@@ -50,11 +49,11 @@
                });
 }
 
-std::size_t claim_ledger::size() const noexcept {
+std::size_t claim_table::size() const noexcept {
     return expiry_.size();
 }
 
-nlohmann::json claim_ledger::dump(instant now) const {
+nlohmann::json claim_table::dump(instant now) const {
     nlohmann::json state;
     state["recovered"] = is_recovered(now);
     state["keys"] = claims_.size();
@@ -68,11 +67,11 @@
 
 // ---- Inputs ----------------------------------------------------------------
 
-void claim_ledger::recovered_fresh() {
+void claim_table::recovered_fresh() {
     fresh_ = true;
 }
 
-claim_reply claim_ledger::on_claim(const claim_request& request, instant now) {
+claim_reply claim_table::on_claim(const claim_request& request, instant now) {
     forget_old(now);
     claim_reply reply;
     reply.asked = request.record.attempt;
@@ -102,7 +101,7 @@
     return reply;
 }
 
-void claim_ledger::on_release(const claim_release& release, instant now) {
+void claim_table::on_release(const claim_release& release, instant now) {
     forget_old(now);
     const auto found = claims_.find(release.key);
     if (found == claims_.end())
@@ -124,7 +123,7 @@
 }
 
 std::vector<recover_reply>
-claim_ledger::on_recover_request(const recover_request& request, instant now) {
+claim_table::on_recover_request(const recover_request& request, instant now) {
     forget_old(now);
     learn(request.witness);
     recover_reply page;
@@ -155,7 +154,7 @@
     return pages;
 }
 
-void claim_ledger::on_recover_reply(const recover_reply& reply, instant now) {
+void claim_table::on_recover_reply(const recover_reply& reply, instant now) {
     if (reply.witness != self_ || reply.sender.name == self_.name)
         return;
     learn(reply.sender);
@@ -171,7 +170,7 @@
         answered_.insert(reply.sender.name);
 }
 
-std::vector<claim_ledger::recovery_step> claim_ledger::tick(instant now) {
+std::vector<claim_table::recovery_step> claim_table::tick(instant now) {
     forget_old(now);
     std::vector<recovery_step> steps;
     if (now < next_request_ || is_recovered(now))
@@ -186,12 +185,12 @@
 
 // ---- Details ---------------------------------------------------------------
 
-void claim_ledger::learn(const process_id& witness) {
+void claim_table::learn(const process_id& witness) {
     std::uint64_t& newest = known_[witness.name];
     newest = std::max(newest, witness.incarnation);
 }
 
-void claim_ledger::store(const claim_record& record, instant now) {
+void claim_table::store(const claim_record& record, instant now) {
     const instant expires = now - milliseconds{record.age_ms} + retention_;
     if (expires <= now)
         return;
@@ -206,13 +205,13 @@
     expiry_.emplace(expires, record.key, record.attempt);
 }
 
-bool claim_ledger::shares(const claim_key& key,
-                          const std::string& witness) const {
+bool claim_table::shares(const claim_key& key,
+                         const std::string& witness) const {
     const std::vector<std::string> voters = claim_voters(key, witnesses_);
     return std::find(voters.begin(), voters.end(), witness) != voters.end();
 }
 
-void claim_ledger::forget_old(instant now) {
+void claim_table::forget_old(instant now) {
     while (!expiry_.empty() && std::get<instant>(*expiry_.begin()) <= now) {
         const claim_key key = std::get<claim_key>(*expiry_.begin());
         expiry_.erase(expiry_.begin());
@@ -227,7 +226,7 @@
     }
 }
 
-std::vector<process_id> claim_ledger::known() const {
+std::vector<process_id> claim_table::known() const {
     std::vector<process_id> witnesses;
     for (const auto& [name, incarnation] : known_)
         witnesses.push_back({name, incarnation});
--- a/src/requests/request_service.cpp
+++ b/src/requests/request_service.cpp
@@ -99,7 +99,7 @@
     if (std::holds_alternative<claim_request>(body) ||
         std::holds_alternative<claim_release>(body)) {
         if (process == links_.self().name)
-            deliver_to_own_ledger(body);
+            deliver_to_own_claim_table(body);
         else
             links_.send(process, body);
         return;
@@ -109,16 +109,16 @@
         links_.reply(peer->connection, body);
 }
 
-void request_service::deliver_to_own_ledger(const message& body) {
+void request_service::deliver_to_own_claim_table(const message& body) {
     // Posted, since the broker is still carrying out its actions.
     core_.post("requests", [this, body] {
-        auto* ledger = core_.find_if<claim_service>("claims");
-        if (ledger == nullptr)
+        auto* claims = core_.find_if<claim_service>("claims");
+        if (claims == nullptr)
             return;
         if (const auto* release = std::get_if<claim_release>(&body))
-            ledger->release(*release);
+            claims->release(*release);
         if (const auto* request = std::get_if<claim_request>(&body))
-            perform(broker_.on_message(links_.self(), ledger->vote(*request),
+            perform(broker_.on_message(links_.self(), claims->vote(*request),
                                        steady::now()));
     });
 }
--- a/src/rollout/config_register.cpp
+++ b/src/rollout/config_register.cpp
@@ -79,8 +79,8 @@
     neighbours_.resize(std::min(neighbours_.size(), max_neighbours));
 }
 
-config_register::actions config_register::platform_read(const std::string& json,
-                                                        instant) {
+config_register::actions
+config_register::on_platform_read(const std::string& json, instant) {
     actions out;
     if (!json.empty()) {
         const revision before = document();
@@ -94,7 +94,7 @@
     return out;
 }
 
-config_register::actions config_register::accepted(const std::string& json) {
+config_register::actions config_register::on_accepted(const std::string& json) {
     actions out;
     offer(json, "", out);
     settle(out);
@@ -131,8 +131,8 @@
     return out;
 }
 
-config_register::actions config_register::heard(const revisions_heard& told,
-                                                instant now) {
+config_register::actions
+config_register::on_revision_report(const revision_report& told, instant now) {
     actions out;
     merge(told.held);
     confirm(told);
@@ -143,15 +143,16 @@
     return out;
 }
 
-config_register::actions config_register::heard_in_force(revision number) {
+config_register::actions
+config_register::on_in_force_elsewhere(revision number) {
     actions out;
     in_force_elsewhere_ = std::max(in_force_elsewhere_, number);
     settle(out);
     return out;
 }
 
-void config_register::asked(const std::string& witness,
-                            std::uint64_t sequence) {
+void config_register::on_witness_asked(const std::string& witness,
+                                       std::uint64_t sequence) {
     if (!round_)
         return;
     const auto found = round_->witnesses.find(witness);
@@ -339,7 +340,7 @@
     round_ = std::move(next);
 }
 
-void config_register::confirm(const revisions_heard& told) {
+void config_register::confirm(const revision_report& told) {
     if (!round_ || told.answers == 0)
         return;
     const auto found = round_->witnesses.find(told.peer.name);
--- a/src/rollout/configuration.cpp
+++ b/src/rollout/configuration.cpp
@@ -64,12 +64,12 @@
             known.sender = peer.process;
             apply(register_.receive(known, steady::now()));
         });
-    members_.on_revisions([this](const revisions_heard& told) {
-        apply(register_.heard(told, steady::now()));
+    members_.on_revisions([this](const revision_report& told) {
+        apply(register_.on_revision_report(told, steady::now()));
     });
     members_.on_change([this](const member& value) {
         if (value.id.name != members_.self().id.name)
-            apply(register_.heard_in_force(value.in_force));
+            apply(register_.on_in_force_elsewhere(value.in_force));
     });
 }
 
@@ -111,7 +111,7 @@
             const acceptance_result result = run(operation, client_);
             core_.post(service_name, [this, result, done] {
                 if (const auto* success = std::get_if<accepted>(&result))
-                    apply(register_.accepted(success->json));
+                    apply(register_.on_accepted(success->json));
                 done(result);
             });
         });
@@ -198,7 +198,7 @@
         core_.post(service_name, [this, list, failure] {
             polling_ = false;
             if (list)
-                members_.listed(*list);
+                members_.on_vm_list(*list);
             else
                 on_platform_failure(failure);
         });
@@ -211,8 +211,8 @@
         for (const auto& handler : nothing_accepted_handlers_)
             handler();
     }
-    apply(register_.platform_read(reading.entry ? reading.entry->value : "",
-                                  steady::now()));
+    apply(register_.on_platform_read(reading.entry ? reading.entry->value : "",
+                                     steady::now()));
 }
 
 void configuration::on_platform_failure(const error& failure) {
@@ -238,7 +238,7 @@
 }
 
 void configuration::apply(const ask_witness& action) {
-    register_.asked(action.witness, members_.question(action.witness));
+    register_.on_witness_asked(action.witness, members_.query(action.witness));
 }
 
 void configuration::apply(const put_in_force& action) {
--- a/src/serving/backend_load.cpp
+++ b/src/serving/backend_load.cpp
@@ -31,7 +31,7 @@
 /// Time of one pass over `running` requests, without prompts to read.
 double pass_ms(const engine_profile& engine, double running) {
     const double context_k =
-        (engine.usual_prompt_tokens + engine.usual_answer_tokens / 2) /
+        (engine.typical_prompt_tokens + engine.typical_answer_tokens / 2) /
         tokens_per_k;
     return engine.steps_per_pass *
            (engine.step_ms +
@@ -40,19 +40,19 @@
 }
 
 double read_ms(const engine_profile& engine, double tokens) {
-    if (engine.read_tokens_per_s <= 0)
+    if (engine.prefill_tokens_per_s <= 0)
         return 0;
-    return tokens / engine.read_tokens_per_s * ms_per_s +
-           engine.read_ms_per_m_pairs * tokens * tokens / 2 / pairs_per_m;
+    return tokens / engine.prefill_tokens_per_s * ms_per_s +
+           engine.prefill_ms_per_m_pairs * tokens * tokens / 2 / pairs_per_m;
 }
 
 /// Time that a usual request holds its slot when `running` others do.
 double service_ms(const engine_profile& engine, double running) {
     const double passes =
-        engine.usual_answer_tokens / std::max(1U, engine.steps_per_pass);
+        engine.typical_answer_tokens / std::max(1U, engine.steps_per_pass);
     const double alone = passes * pass_ms(engine, running);
     // Each other request is read once in that time and holds up the passes.
-    return alone + running * read_ms(engine, engine.usual_prompt_tokens);
+    return alone + running * read_ms(engine, engine.typical_prompt_tokens);
 }
 
 } // namespace
@@ -148,7 +148,7 @@
         next.load = load;
         if (engine) {
             next.version = version_of(*server, *engine, now);
-            if (next.version == 0 || next.version < request.least_version)
+            if (next.version == 0 || next.version < request.min_version)
                 continue;
             next.backlog = backlog(server->id, now);
             next.wait =
@@ -189,30 +189,30 @@
     });
     std::uniform_int_distribution<std::size_t> draw(0, ready.size() - 1);
     const candidate& chosen = ready[draw(random_)];
-    placed_at result{chosen.server->id, chosen.version, chosen.load,
-                     chosen.backlog, chosen.wait};
+    placed result{chosen.server->id, chosen.version, chosen.load,
+                  chosen.backlog, chosen.wait};
     if (engine)
-        result.read = microseconds(static_cast<std::int64_t>(
+        result.prefill_time = microseconds(static_cast<std::int64_t>(
             read_ms(*engine, request.prompt_tokens) * us_per_ms));
     return result;
 }
 
-void backend_load::add_prompt(load_record& record, microseconds read,
+void backend_load::add_prompt(load_record& record, microseconds prefill_time,
                               instant now) {
-    record.reads_until = std::max(record.reads_until, now) + read;
+    record.reads_until = std::max(record.reads_until, now) + prefill_time;
 }
 
-void backend_load::on_sent(const std::string& server, microseconds read,
+void backend_load::on_sent(const std::string& server, microseconds prefill_time,
                            instant now) {
     load_record& record = records_[server];
     ++record.outstanding;
-    add_prompt(record, read, now);
+    add_prompt(record, prefill_time, now);
 }
 
 void backend_load::on_sent_elsewhere(const std::string& server,
-                                     microseconds read, instant now) {
+                                     microseconds prefill_time, instant now) {
     load_record& record = records_[server];
-    add_prompt(record, read, now);
+    add_prompt(record, prefill_time, now);
 }
 
 void backend_load::on_ended(const std::string& server, attempt_result result,
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -69,11 +69,12 @@
 
 gateway::gateway(kernel& core, web_client& client, const route_table& routes,
                  const backend_registry& servers, backend_load& load,
-                 metrics& figures, caller_dialect dialect,
-                 gateway_context context, const repeat_window::options& repeats)
+                 metrics& figures, caller_protocol protocol,
+                 gateway_context context,
+                 const retry_window::options& retry_limits)
     : core_(core), client_(client), routes_(routes), servers_(servers),
-      load_(load), figures_(figures), dialect_(std::move(dialect)),
-      context_(std::move(context)), repeat_limits_(repeats),
+      load_(load), figures_(figures), protocol_(std::move(protocol)),
+      context_(std::move(context)), retry_limits_(retry_limits),
       random_(std::random_device{}()) {}
 
 void gateway::attach(web_server& server) {
@@ -90,20 +91,20 @@
     return found == requests_.end() ? nullptr : found->second.get();
 }
 
-void gateway::set_repeat_limits(const repeat_window::options& limits) {
-    repeat_limits_ = limits;
-    for (auto& [service, window] : repeats_)
+void gateway::set_retry_limits(const retry_window::options& limits) {
+    retry_limits_ = limits;
+    for (auto& [service, window] : retries_)
         window.set_limits(limits);
 }
 
-repeat_window& gateway::repeats_of(const std::string& service) {
-    return repeats_.try_emplace(service, repeat_limits_).first->second;
+retry_window& gateway::retries_of(const std::string& service) {
+    return retries_.try_emplace(service, retry_limits_).first->second;
 }
 
 // ---- Requests --------------------------------------------------------------
 
 void gateway::on_request(exchange_id exchange, http_request request) {
-    const caller_request caller = dialect_.read_request(request);
+    const caller_request caller = protocol_.read_request(request);
     if (is_closed_) {
         refuse_unrouted(exchange, caller, "entry is stopping",
                         stopping_retry_after);
@@ -179,7 +180,7 @@
     record->deadline_timer =
         core_.after(service_name, record->deadline - now,
                     [this, exchange] { on_deadline(exchange); });
-    repeats_of(record->service).on_request(now);
+    retries_of(record->service).on_request(now);
     requests_.emplace(static_cast<std::uint64_t>(exchange), std::move(record));
     place(exchange);
 }
@@ -198,7 +199,7 @@
     wanted.prompt_tokens = record.caller.prompt_tokens;
     wanted.objective = record.objective;
     wanted.is_late = record.is_late;
-    wanted.least_version = context_.least_version(record.service);
+    wanted.min_version = context_.min_version(record.service);
     wanted.tried = &record.tried;
     // All entries share a server's connections; it resets those beyond.
     const std::uint32_t entries = std::max(1U, context_.entries());
@@ -209,11 +210,11 @@
     std::vector<const backend_server*> servers =
         servers_.serving(record.service);
     std::erase_if(servers, [&](const backend_server* server) {
-        return !client_.has_room(server->endpoint, share);
+        return !client_.has_free_connection(server->endpoint, share);
     });
     const placement_decision decision =
         load_.place(wanted, servers, entries, steady::now());
-    if (const auto* chosen = std::get_if<placed_at>(&decision))
+    if (const auto* chosen = std::get_if<placed>(&decision))
         send(exchange, *chosen);
     else if (const auto* full = std::get_if<no_room>(&decision))
         refuse(exchange, "no server has room in time", full->retry_after);
@@ -222,7 +223,7 @@
         refuse(exchange, "no server can answer", longest_retry_after);
 }
 
-void gateway::send(exchange_id exchange, const placed_at& chosen) {
+void gateway::send(exchange_id exchange, const placed& chosen) {
     request_record& record = *find(exchange);
     const instant now = steady::now();
     const backend_server* server = servers_.find(chosen.server);
@@ -240,12 +241,12 @@
     http_request request;
     request.method = record.request.method;
     request.target = record.request.target;
-    request.fields = dialect_.attempt_fields(record.request, terms);
+    request.fields = protocol_.attempt_fields(record.request, terms);
     request.body = record.request.body;
     call_options options;
     // The request's own timer ends it; this one is for a timer that is lost.
     options.timeout = terms.time_left + call_slack;
-    options.echoed_field = dialect_.id_field;
+    options.echoed_field = protocol_.id_field;
     call_handlers handlers;
     handlers.head = [this, exchange](const http_response& head) {
         on_head(exchange, head);
@@ -262,9 +263,9 @@
     ++record.sent;
     ++record.runs;
     heard_.try_emplace(chosen.server, now);
-    load_.on_sent(chosen.server, chosen.read, now);
-    if (chosen.read > microseconds(0))
-        context_.sent(*server, chosen.read);
+    load_.on_sent(chosen.server, chosen.prefill_time, now);
+    if (chosen.prefill_time > microseconds(0))
+        context_.sent(*server, chosen.prefill_time);
     record.call =
         client_.start(server->endpoint, request, options, std::move(handlers));
     log_event(log_level::info, "request_sent",
@@ -293,7 +294,7 @@
 bool gateway::may_repeat(request_record& record) {
     if (record.sent >= max_sends || record.runs >= record.max_attempts)
         return false;
-    return repeats_of(record.service).spend(context_.entries(), steady::now());
+    return retries_of(record.service).spend(context_.entries(), steady::now());
 }
 
 void gateway::on_head(exchange_id exchange, const http_response& head) {
@@ -376,7 +377,7 @@
         on_failed_attempt(exchange, to_string(end), true);
         return;
     }
-    if (dialect_.is_not_run(record->head)) {
+    if (protocol_.is_not_run(record->head)) {
         --record->runs;
         end_call(*record, attempt_result::refused);
         record->head.body.clear();
--- a/src/serving/repeat_window.cpp
+++ b/src/serving/retry_window.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/serving/repeat_window.hpp>
+#include <ospreystage/serving/retry_window.hpp>
 
 #include <algorithm>
 
@@ -12,32 +12,32 @@
 
 } // namespace
 
-repeat_window::repeat_window(const options& limits) : limits_(limits) {}
+retry_window::retry_window(const options& limits) : limits_(limits) {}
 
-void repeat_window::on_request(instant now) {
+void retry_window::on_request(instant now) {
     advance(now);
     requests_.push_back(now);
 }
 
-bool repeat_window::spend(std::uint32_t entries, instant now) {
+bool retry_window::spend(std::uint32_t entries, instant now) {
     advance(now);
     const double share =
         limits_.allowance / static_cast<double>(std::max(entries, 1U));
     const double budget =
         used_share *
         (limits_.ratio * static_cast<double>(requests_.size()) + share);
-    if (static_cast<double>(repeats_.size()) + 1 > budget)
+    if (static_cast<double>(retries_.size()) + 1 > budget)
         return false;
-    repeats_.push_back(now);
+    retries_.push_back(now);
     return true;
 }
 
-void repeat_window::advance(instant now) {
+void retry_window::advance(instant now) {
     const instant first = now - limits_.window;
     while (!requests_.empty() && requests_.front() < first)
         requests_.pop_front();
-    while (!repeats_.empty() && repeats_.front() < first)
-        repeats_.pop_front();
+    while (!retries_.empty() && retries_.front() < first)
+        retries_.pop_front();
 }
 
 } // namespace ospreystage
--- a/src/weights/distribution.cpp
+++ b/src/weights/distribution.cpp
@@ -128,26 +128,27 @@
     update();
 }
 
-void distribution::want(const std::vector<wanted_version>& versions) {
-    std::vector<wanted_version> valid = versions;
-    std::erase_if(valid, [](const wanted_version& entry) {
+void distribution::request_versions(
+    const std::vector<requested_version>& versions) {
+    std::vector<requested_version> valid = versions;
+    std::erase_if(valid, [](const requested_version& entry) {
         return !is_digest(entry.version);
     });
-    const auto is_wanted = [&](const digest& version) {
+    const auto is_requested = [&](const digest& version) {
         return std::any_of(valid.begin(), valid.end(),
-                           [&](const wanted_version& entry) {
+                           [&](const requested_version& entry) {
                                return entry.version == version;
                            });
     };
-    for (const wanted_version& entry : wanted_) {
-        if (is_wanted(entry.version))
+    for (const requested_version& entry : requested_) {
+        if (is_requested(entry.version))
             continue;
         store_.drop(entry.version);
         reported_.erase(entry.version);
     }
-    wanted_ = std::move(valid);
-    decisions_.set_wanted(wanted_, steady::now());
-    for (const wanted_version& entry : wanted_) {
+    requested_ = std::move(valid);
+    decisions_.set_requested(requested_, steady::now());
+    for (const requested_version& entry : requested_) {
         auto known = known_manifests_.extract(entry.version);
         if (!known.empty() && !store_.contains(entry.version))
             accept_known(entry.version, known.mapped());
@@ -293,10 +294,11 @@
 void distribution::accept_manifest(const chunk_source& source,
                                    const digest& version,
                                    const std::string& json) {
-    const bool is_wanted = std::any_of(
-        wanted_.begin(), wanted_.end(),
-        [&](const wanted_version& entry) { return entry.version == version; });
-    if (!is_wanted)
+    const bool is_requested = std::any_of(requested_.begin(), requested_.end(),
+                                          [&](const requested_version& entry) {
+                                              return entry.version == version;
+                                          });
+    if (!is_requested)
         return;
     if (json.empty()) {
         decisions_.on_manifest_failed(version, source, steady::now());
@@ -349,7 +351,7 @@
 
 void distribution::report_complete() {
     std::vector<digest> completed;
-    for (const wanted_version& entry : wanted_)
+    for (const requested_version& entry : requested_)
         if (decisions_.complete(entry.version) &&
             reported_.insert(entry.version).second)
             completed.push_back(entry.version);
@@ -407,7 +409,7 @@
                  chunk_data{action.version, action.index, ""});
 }
 
-void distribution::perform(const give_up_peer& action) {
+void distribution::perform(const reconnect_peer& action) {
     links_.reset(action.peer, "no answer to a chunk request");
 }
 
--- a/src/weights/engine_loader.cpp
+++ b/src/weights/engine_loader.cpp
@@ -4,11 +4,11 @@
 
 namespace ospreystage {
 
-void engine_loader::want(std::uint64_t version, std::uint32_t chunks,
-                         instant turn) {
-    if (version != wanted_ || chunks != chunks_)
+void engine_loader::request_version(std::uint64_t version, std::uint32_t chunks,
+                                    instant turn) {
+    if (version != requested_ || chunks != chunks_)
         staged_.reset();
-    wanted_ = version;
+    requested_ = version;
     chunks_ = chunks;
     turn_ = turn;
 }
@@ -20,7 +20,7 @@
 void engine_loader::on_report(const engine_state_report& report, instant) {
     if (report_ && report_->started_unix_ms != report.started_unix_ms)
         staged_.reset();
-    if (report.is_loading || report.version >= wanted_)
+    if (report.is_loading || report.version >= requested_)
         announced_.reset();
     report_ = report;
 }
@@ -37,9 +37,10 @@
 }
 
 loader_action engine_loader::next(instant now) {
-    if (is_busy_ || now < paused_until_ || !report_ || wanted_ == 0)
+    if (is_busy_ || now < paused_until_ || !report_ || requested_ == 0)
         return std::monostate{};
-    if (report_->version >= wanted_ || report_->is_loading || held_ != wanted_)
+    if (report_->version >= requested_ || report_->is_loading ||
+        held_ != requested_)
         return std::monostate{};
     const auto act = [this](loader_action action) {
         is_busy_ = true;
@@ -69,7 +70,7 @@
         return act(check_staged{});
     }
     staged_.reset();
-    return act(order_switch{wanted_, report_->orders});
+    return act(order_switch{requested_, report_->orders});
 }
 
 milliseconds switch_turn(std::size_t rank, std::size_t count,
--- a/src/weights/engine_state.cpp
+++ b/src/weights/engine_state.cpp
@@ -30,7 +30,7 @@
                                     const engine_target& target) {
     std::vector<engine_order> orders;
     bool all_held = true;
-    for (const digest& version : target.wanted) {
+    for (const digest& version : target.requested) {
         if (state.held.contains(version))
             continue;
         all_held = false;
@@ -41,10 +41,10 @@
     if (!all_held)
         return orders;
     for (const digest& version : state.held) {
-        const bool wanted =
-            std::find(target.wanted.begin(), target.wanted.end(), version) !=
-            target.wanted.end();
-        if (!wanted && !target.in_use.contains(version))
+        const bool is_requested =
+            std::find(target.requested.begin(), target.requested.end(),
+                      version) != target.requested.end();
+        if (!is_requested && !target.in_use.contains(version))
             orders.emplace_back(drop_version{version});
     }
     return orders;
--- /dev/null
+++ b/src/weights/published_versions.cpp
@@ -0,0 +1,55 @@
+#include <ospreystage/core/log.hpp>
+#include <ospreystage/weights/published_versions.hpp>
+
+namespace ospreystage {
+
+namespace {
+
+/// Time before the limit at which older versions get no more requests: the
+/// publication was acknowledged before it was learned of, and a request may
+/// wait in an engine's queue before it begins.
+constexpr milliseconds safety_margin{1800};
+
+} // namespace
+
+bool published_versions::is_due(const publication& record, instant now) const {
+    return !record.is_observed ||
+           now - record.learned_at > limit_ - safety_margin;
+}
+
+bool published_versions::on_published(const std::string& model,
+                                      std::uint64_t version, bool is_observed,
+                                      instant now) {
+    std::vector<publication>& records = models_[model];
+    if (!records.empty() && version <= records.back().version)
+        return false;
+    records.push_back({version, now, is_observed});
+    while (records.size() > 1 && is_due(records[1], now))
+        records.erase(records.begin());
+    log_event(
+        log_level::info, "version_named",
+        {{"model", model}, {"version", version}, {"saw_naming", is_observed}});
+    return true;
+}
+
+std::optional<published_versions::publication>
+published_versions::find(const std::string& model) const {
+    const auto found = models_.find(model);
+    if (found == models_.end())
+        return std::nullopt;
+    return found->second.back();
+}
+
+std::uint64_t published_versions::min_version(const std::string& model,
+                                              instant now) const {
+    const auto found = models_.find(model);
+    if (found == models_.end())
+        return 0;
+    std::uint64_t result = 0;
+    for (const publication& record : found->second)
+        if (is_due(record, now))
+            result = record.version;
+    return result;
+}
+
+} // namespace ospreystage
--- a/src/weights/swarm.cpp
+++ b/src/weights/swarm.cpp
@@ -94,31 +94,32 @@
     }
 }
 
-void swarm::set_wanted(const std::vector<wanted_version>& wanted, instant now) {
-    const auto is_wanted = [&](const digest& version) {
-        return std::any_of(wanted.begin(), wanted.end(),
-                           [&](const wanted_version& entry) {
+void swarm::set_requested(const std::vector<requested_version>& requested,
+                          instant now) {
+    const auto is_requested = [&](const digest& version) {
+        return std::any_of(requested.begin(), requested.end(),
+                           [&](const requested_version& entry) {
                                return entry.version == version;
                            });
     };
     std::vector<request_record> dropped;
     for (const request_record& request : requests_)
-        if (!is_wanted(request.version))
+        if (!is_requested(request.version))
             dropped.push_back(request);
     for (const request_record& request : dropped)
         if (take_request(request.source, request.version, request.index))
             release(request, false);
     std::erase_if(versions_, [&](const version_record& version) {
-        if (is_wanted(version.id))
+        if (is_requested(version.id))
             return false;
         uploads_.drop_version(version.id);
         return true;
     });
-    for (const wanted_version& entry : wanted) {
+    for (const requested_version& entry : requested) {
         if (find(entry.version) == nullptr) {
             version_record& added = versions_.emplace_back();
             added.id = entry.version;
-            added.wanted_since = now;
+            added.requested_since = now;
             added.progress = now;
             added.announce_now = true;
             place(added);
--- a/src/weights/swarm_downloads.cpp
+++ b/src/weights/swarm_downloads.cpp
@@ -142,12 +142,12 @@
     if (role.origin_rank < version.roles->origin_copies()) {
         const auto heard = version.active.size();
         const auto expected = version.roles->neighbours().size();
-        if (heard * 2 < expected && now - version.wanted_since < join_grace)
+        if (heard * 2 < expected && now - version.requested_since < join_grace)
             return false;
         const bool is_first = role.origin_rank == 0;
         return !has_trusted_holder(version, index, !is_first, now);
     }
-    if (!version.roles->has_stand_ins())
+    if (!version.roles->has_backup_readers())
         return false;
     const auto fallback =
         stall_timeout(version.description->chunk_bytes) * fallback_stalls;
@@ -244,7 +244,7 @@
             continue;
         const peer_id id = peer_of(reader);
         const peer_view& view = view_of(version, id);
-        const instant heard = std::max(at(id).heard, version.wanted_since);
+        const instant heard = std::max(at(id).heard, version.requested_since);
         if (!view.is_complete() && now - heard > limit)
             silent.push_back(reader);
     }
--- a/src/weights/swarm_requests.cpp
+++ b/src/weights/swarm_requests.cpp
@@ -113,7 +113,7 @@
         mark_blocked(request);
         if (is_usable(id, now)) {
             strike(id, now);
-            actions_.emplace_back(give_up_peer{source->name});
+            actions_.emplace_back(reconnect_peer{source->name});
         }
     }
 }
--- a/src/weights/swarm_uploads.cpp
+++ b/src/weights/swarm_uploads.cpp
@@ -72,7 +72,7 @@
         const peer_id chosen = holders[random_() % holders.size()];
         version.manifest_source = peer_source{at(chosen).name};
     } else if (version.roles->is_reader() ||
-               now - version.wanted_since > manifest_fallback) {
+               now - version.requested_since > manifest_fallback) {
         version.manifest_source = origin_source{};
     } else {
         return;
--- a/src/weights/version_plan.cpp
+++ b/src/weights/version_plan.cpp
@@ -5,12 +5,13 @@
 
 namespace ospreystage {
 
-bool version_plan::on_named(std::uint64_t number, instant named,
-                            bool saw_naming) {
+bool version_plan::on_published(std::uint64_t number, instant published_at,
+                                bool is_observed) {
     if (number > in_use_) {
-        const auto [found, is_new] = named_.try_emplace(number, named);
-        if (!is_new && saw_naming)
-            found->second = std::max(found->second, named);
+        const auto [found, is_new] =
+            published_.try_emplace(number, published_at);
+        if (!is_new && is_observed)
+            found->second = std::max(found->second, published_at);
     }
     const auto [found, is_new] = versions_.try_emplace(number);
     found->second.number = number;
@@ -38,7 +39,7 @@
 
 void version_plan::on_in_use(std::uint64_t number) {
     in_use_ = number;
-    named_.erase(named_.begin(), named_.upper_bound(number));
+    published_.erase(published_.begin(), published_.upper_bound(number));
 }
 
 const version_plan::version_record*
@@ -55,8 +56,8 @@
     return newest;
 }
 
-std::vector<wanted_version> version_plan::wanted() const {
-    std::vector<wanted_version> result;
+std::vector<requested_version> version_plan::requested() const {
+    std::vector<requested_version> result;
     auto priority = static_cast<std::uint32_t>(versions_.size());
     for (const auto& [number, record] : versions_)
         if (!record.id.empty())
@@ -64,10 +65,10 @@
     return result;
 }
 
-std::optional<instant> version_plan::oldest_naming() const {
-    if (named_.empty())
+std::optional<instant> version_plan::oldest_publication() const {
+    if (published_.empty())
         return std::nullopt;
-    return named_.begin()->second;
+    return published_.begin()->second;
 }
 
 bool version_plan::is_complete() const {
--- a/tests/gate.cpp
+++ b/tests/attempt_scheduler.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/requests/gate.hpp>
+#include <ospreystage/requests/attempt_scheduler.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -14,15 +14,16 @@
 const digest version_b(64, 'b');
 const instant start{std::chrono::hours{1}};
 
-settings gate_settings(std::uint32_t capacity, std::uint32_t queue) {
+settings scheduler_settings(std::uint32_t capacity, std::uint32_t queue) {
     settings value;
     value.backend_server.capacity = capacity;
     value.backend_server.queue = queue;
     return value;
 }
 
-gate serving_gate(std::uint32_t capacity = 2, std::uint32_t queue = 2) {
-    gate value(agent, gate_settings(capacity, queue));
+attempt_scheduler serving_gate(std::uint32_t capacity = 2,
+                               std::uint32_t queue = 2) {
+    attempt_scheduler value(agent, scheduler_settings(capacity, queue));
     static_cast<void>(
         value.set_service({"pool", true, {version_a}, true}, start));
     return value;
@@ -46,10 +47,10 @@
 }
 
 template <typename Message>
-std::vector<Message> sent(const gate::actions& actions) {
+std::vector<Message> sent(const attempt_scheduler::actions& actions) {
     std::vector<Message> found;
     for (const auto& action : actions) {
-        const auto* send = std::get_if<gate_send>(&action);
+        const auto* send = std::get_if<send_to_entry>(&action);
         if (send == nullptr)
             continue;
         if (const auto* body = std::get_if<Message>(&send->body))
@@ -59,7 +60,7 @@
 }
 
 template <typename Action>
-std::vector<Action> all(const gate::actions& actions) {
+std::vector<Action> all(const attempt_scheduler::actions& actions) {
     std::vector<Action> found;
     for (const auto& action : actions) {
         if (const auto* wanted = std::get_if<Action>(&action))
@@ -68,25 +69,25 @@
     return found;
 }
 
-refusal refusal_of(const gate::actions& actions) {
+refusal refusal_of(const attempt_scheduler::actions& actions) {
     const auto refused = sent<run_refused>(actions);
     REQUIRE(refused.size() == 1);
-    CHECK(all<gate_start>(actions).empty());
+    CHECK(all<start_attempt>(actions).empty());
     return refused.front().reason;
 }
 
 } // namespace
 
-TEST_CASE("gate - an order for another incarnation is refused") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - an order for another incarnation is refused") {
+    attempt_scheduler value = serving_gate();
     run_order order = order_of(1);
     order.agent.incarnation = 6;
     CHECK(refusal_of(value.on_run_order(entry, 1, order, start)) ==
           refusal::wrong_incarnation);
 }
 
-TEST_CASE("gate - only versions that the engine holds pass") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - only versions that the engine holds pass") {
+    attempt_scheduler value = serving_gate();
     run_order order = order_of(1);
     order.version = version_b;
     CHECK(refusal_of(value.on_run_order(entry, 1, order, start)) ==
@@ -97,17 +98,18 @@
           refusal::not_in_force);
 }
 
-TEST_CASE("gate - an expired order is refused") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - an expired order is refused") {
+    attempt_scheduler value = serving_gate();
     run_order order = order_of(1);
     order.deadline_ms = 0;
     CHECK(refusal_of(value.on_run_order(entry, 1, order, start)) ==
           refusal::expired);
 }
 
-TEST_CASE("gate - a full queue refuses and the refused never starts") {
-    gate value = serving_gate(1, 1);
-    CHECK(all<gate_start>(value.on_run_order(entry, 1, order_of(1), start))
+TEST_CASE(
+    "attempt scheduler - a full queue refuses and the refused never starts") {
+    attempt_scheduler value = serving_gate(1, 1);
+    CHECK(all<start_attempt>(value.on_run_order(entry, 1, order_of(1), start))
               .size() == 1);
     CHECK(value.on_run_order(entry, 1, order_of(2), start).empty());
     CHECK(refusal_of(value.on_run_order(entry, 1, order_of(3), start)) ==
@@ -118,8 +120,8 @@
           refusal::sealed);
 }
 
-TEST_CASE("gate - an order delayed behind its seal never runs") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - an order delayed behind its seal never runs") {
+    attempt_scheduler value = serving_gate();
     const auto sealed = value.on_seal_order(entry, {{entry, 1}}, start);
     CHECK(refusal_of(sealed) == refusal::sealed);
     CHECK(refusal_of(value.on_run_order(entry, 1, order_of(1), start)) ==
@@ -130,23 +132,25 @@
           refusal::sealed);
 }
 
-TEST_CASE("gate - a started attempt cannot be sealed") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - a started attempt cannot be sealed") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto actions = value.on_seal_order(entry, {{entry, 1}}, start);
     CHECK(sent<seal_failed>(actions).size() == 1);
     CHECK(sent<run_refused>(actions).empty());
 }
 
-TEST_CASE("gate - orders of an earlier epoch are void after a reconnect") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - orders of an earlier epoch are void after a "
+          "reconnect") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_link_up(entry, 2, start));
     CHECK(refusal_of(value.on_run_order(entry, 1, order_of(1), start)) ==
           refusal::stale_epoch);
 }
 
-TEST_CASE("gate - a reconnect seals what is queued and lists what started") {
-    gate value = serving_gate(2, 4);
+TEST_CASE("attempt scheduler - a reconnect seals what is queued and lists what "
+          "started") {
+    attempt_scheduler value = serving_gate(2, 4);
     static_cast<void>(value.on_link_up(entry, 1, start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, claimed_order_of(2), start));
@@ -157,7 +161,7 @@
     std::sort(started.begin(), started.end());
     CHECK(started == std::vector<attempt_id>{{entry, 1}, {entry, 2}});
     CHECK(value.queued() == 0);
-    const auto cancelled = all<gate_cancel>(result.effects);
+    const auto cancelled = all<cancel_attempt>(result.effects);
     REQUIRE(cancelled.size() == 1);
     CHECK(cancelled.front().attempt == attempt_id{entry, 1});
     CHECK(value.running() == 1);
@@ -165,8 +169,9 @@
           refusal::sealed);
 }
 
-TEST_CASE("gate - an ended attempt stays listed past its deadline") {
-    gate value = serving_gate();
+TEST_CASE(
+    "attempt scheduler - an ended attempt stays listed past its deadline") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(
         value.on_begin({entry, 1}, 200, "text/plain", version_a, start));
@@ -176,8 +181,9 @@
     CHECK(value.on_link_up(entry, 2, later).started.size() == 1);
 }
 
-TEST_CASE("gate - a kept answer is sent again from its first part") {
-    gate value = serving_gate();
+TEST_CASE(
+    "attempt scheduler - a kept answer is sent again from its first part") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_run_order(entry, 1, claimed_order_of(1), start));
     static_cast<void>(
         value.on_begin({entry, 1}, 200, "text/plain", version_a, start));
@@ -194,44 +200,47 @@
     CHECK(sent<answer_end>(result.effects).front().parts == 2);
 }
 
-TEST_CASE("gate - a restarted entry with the same sequences starts anew") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - a restarted entry with the same sequences "
+          "starts anew") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_run_order(entry, 5, order_of(1), start));
     const process_id again{"entry-1", 4};
     const auto result = value.on_link_up(again, 1, start);
     CHECK(result.started.empty());
     run_order order = order_of(1);
     order.attempt.entry = again;
-    CHECK(all<gate_start>(value.on_run_order(again, 1, order, start)).size() ==
-          1);
+    CHECK(
+        all<start_attempt>(value.on_run_order(again, 1, order, start)).size() ==
+        1);
     CHECK(refusal_of(value.on_run_order(entry, 6, order_of(2), start)) ==
           refusal::stale_epoch);
 }
 
-TEST_CASE("gate - an answer of another version is not passed on") {
-    gate value = serving_gate();
+TEST_CASE("attempt scheduler - an answer of another version is not passed on") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto actions =
         value.on_begin({entry, 1}, 200, "text/plain", version_b, start);
     CHECK(sent<answer_begin>(actions).empty());
     CHECK(sent<run_failed>(actions).size() == 1);
-    CHECK(all<gate_cancel>(actions).size() == 1);
+    CHECK(all<cancel_attempt>(actions).size() == 1);
     CHECK(value.on_part({entry, 1}, "late", start).empty());
 }
 
-TEST_CASE("gate - a version that goes away refuses what is queued for it") {
-    gate value = serving_gate(1, 2);
+TEST_CASE("attempt scheduler - a version that goes away refuses what is queued "
+          "for it") {
+    attempt_scheduler value = serving_gate(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     const auto actions =
         value.set_service({"pool", true, {version_b}, true}, start);
     CHECK(refusal_of(actions) == refusal::version_not_held);
-    CHECK(value.uses(version_a));
+    CHECK(value.is_version_in_use(version_a));
     CHECK(value.running() == 1);
 }
 
-TEST_CASE("gate - a drain refuses new work and ends what it has") {
-    gate value = serving_gate(1, 2);
+TEST_CASE("attempt scheduler - a drain refuses new work and ends what it has") {
+    attempt_scheduler value = serving_gate(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     value.set_leaving();
@@ -240,7 +249,7 @@
     static_cast<void>(
         value.on_begin({entry, 1}, 200, "text/plain", version_a, start));
     const auto ended = value.on_end({entry, 1}, start);
-    CHECK(all<gate_start>(ended).size() == 1);
+    CHECK(all<start_attempt>(ended).size() == 1);
     CHECK_FALSE(value.idle());
     static_cast<void>(
         value.on_begin({entry, 2}, 200, "text/plain", version_a, start));
@@ -248,8 +257,9 @@
     CHECK(value.idle());
 }
 
-TEST_CASE("gate - a back end that was not reached seals the attempt") {
-    gate value = serving_gate();
+TEST_CASE(
+    "attempt scheduler - a back end that was not reached seals the attempt") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto refused =
         value.on_failed({entry, 1}, false, "connection refused", start);
@@ -259,18 +269,20 @@
     CHECK(sent<run_failed>(failed).size() == 1);
 }
 
-TEST_CASE("gate - a cancelled non-idempotent attempt runs to its end") {
-    gate value = serving_gate();
+TEST_CASE(
+    "attempt scheduler - a cancelled non-idempotent attempt runs to its end") {
+    attempt_scheduler value = serving_gate();
     static_cast<void>(value.on_run_order(entry, 1, claimed_order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     CHECK(value.on_cancel_order(entry, {{entry, 1}}, start).empty());
     const auto actions = value.on_cancel_order(entry, {{entry, 2}}, start);
-    CHECK(all<gate_cancel>(actions).size() == 1);
+    CHECK(all<cancel_attempt>(actions).size() == 1);
     CHECK(value.running() == 1);
 }
 
-TEST_CASE("gate - an attempt past its deadline is stopped and reported") {
-    gate value = serving_gate(1, 2);
+TEST_CASE("attempt scheduler - an attempt past its deadline is stopped and "
+          "reported") {
+    attempt_scheduler value = serving_gate(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     const auto actions = value.tick(start + milliseconds{30'000});
--- a/tests/backend_load.cpp
+++ b/tests/backend_load.cpp
@@ -21,11 +21,11 @@
     engine.step_ms = 9.27;
     engine.step_ms_per_request = 0.0232;
     engine.step_ms_per_k_context = 0.0322;
-    engine.read_tokens_per_s = 20'700;
-    engine.read_ms_per_m_pairs = 1.18;
+    engine.prefill_tokens_per_s = 20'700;
+    engine.prefill_ms_per_m_pairs = 1.18;
     engine.steps_per_pass = 5;
-    engine.usual_prompt_tokens = 979;
-    engine.usual_answer_tokens = 92;
+    engine.typical_prompt_tokens = 979;
+    engine.typical_answer_tokens = 92;
     engine.layers = 16;
     engine.models = {"m"};
     return engine;
@@ -116,18 +116,18 @@
         asked.objective = objective_;
         const auto decision = entries_[entry].place(asked, pointers(servers_),
                                                     entry_count, time(at));
-        const auto* chosen = std::get_if<placed_at>(&decision);
+        const auto* chosen = std::get_if<placed>(&decision);
         if (chosen == nullptr) {
             ++refused;
             return;
         }
         const std::size_t engine = std::stoul(chosen->server.substr(2));
-        entries_[entry].on_sent(chosen->server, chosen->read, time(at));
+        entries_[entry].on_sent(chosen->server, chosen->prefill_time, time(at));
         if (tells_others_)
             for (std::size_t other = 0; other < entry_count; ++other)
                 if (other != entry)
-                    entries_[other].on_sent_elsewhere(chosen->server,
-                                                      chosen->read, time(at));
+                    entries_[other].on_sent_elsewhere(
+                        chosen->server, chosen->prefill_time, time(at));
         double& free_at = reads_until_[engine];
         free_at = std::max({free_at, at, slot_free_at(engine, at)}) + read_s;
         waits.push_back((free_at - at + pass_s) * 1000);
@@ -230,8 +230,8 @@
     for (int turn = 0; turn < 20; ++turn) {
         const auto decision =
             load.place(make_request(service), pointers(servers), 1, start);
-        REQUIRE(std::holds_alternative<placed_at>(decision));
-        CHECK(std::get<placed_at>(decision).server == "i-1");
+        REQUIRE(std::holds_alternative<placed>(decision));
+        CHECK(std::get<placed>(decision).server == "i-1");
     }
     servers.pop_back();
     CHECK(std::holds_alternative<no_server>(
@@ -252,11 +252,11 @@
     std::vector<backend_server> servers = make_servers(2);
     servers[1].layers = {{0, 16, 2}};
     placement_request request = make_request(service);
-    request.least_version = 2;
+    request.min_version = 2;
     backend_load load({}, 1);
     const auto decision = load.place(request, pointers(servers), 1, start);
-    REQUIRE(std::holds_alternative<placed_at>(decision));
-    CHECK(std::get<placed_at>(decision).server == "i-1");
+    REQUIRE(std::holds_alternative<placed>(decision));
+    CHECK(std::get<placed>(decision).server == "i-1");
 }
 
 TEST_CASE("backend load - a refusal says when to return") {
@@ -277,11 +277,11 @@
     load.on_sent("i-0", microseconds(0), start);
     load.on_ended("i-0", attempt_result::failed, start);
     for (int turn = 0; turn < 20; ++turn)
-        CHECK(std::get<placed_at>(load.place(make_request(service),
-                                             pointers(servers), 1, start))
+        CHECK(std::get<placed>(load.place(make_request(service),
+                                          pointers(servers), 1, start))
                   .server == "i-1");
     const std::vector<backend_server> last = make_servers(1);
-    CHECK(std::holds_alternative<placed_at>(
+    CHECK(std::holds_alternative<placed>(
         load.place(make_request(service), pointers(last), 1, start)));
 }
 
@@ -292,6 +292,6 @@
     placement_request request = make_request(service);
     request.tried = &tried;
     backend_load load({}, 1);
-    CHECK(std::get<placed_at>(load.place(request, pointers(servers), 1, start))
+    CHECK(std::get<placed>(load.place(request, pointers(servers), 1, start))
               .server == "i-1");
 }
--- a/tests/bench/claims.cpp
+++ b/tests/bench/claims.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/requests/claim_ledger.hpp>
+#include <ospreystage/requests/claim_table.hpp>
 #include <ospreystage/requests/claim_tally.hpp>
 
 #include <absl/random/distributions.h>
@@ -57,22 +57,22 @@
 /// A claim at voters among the witnesses, by the classes of the product.
 struct voter_claims {
     std::vector<std::string> names;
-    std::vector<std::unique_ptr<claim_ledger>> ledgers;
+    std::vector<std::unique_ptr<claim_table>> tables;
     std::vector<instant> up_at;
     std::uint64_t incarnation = 1;
     std::uint64_t sequence = 1;
 
-    voter_claims() : ledgers(witness_count), up_at(witness_count) {
+    voter_claims() : tables(witness_count), up_at(witness_count) {
         for (std::size_t index = 0; index < witness_count; ++index)
             names.push_back(fmt::format("w-{}", index));
         for (std::size_t index = 0; index < witness_count; ++index) {
             start(index, instant{});
-            ledgers[index]->recovered_fresh();
+            tables[index]->recovered_fresh();
         }
     }
 
     void start(std::size_t index, instant now) {
-        ledgers[index] = std::make_unique<claim_ledger>(
+        tables[index] = std::make_unique<claim_table>(
             process_id{names[index], incarnation++}, names, retention, now);
     }
 
@@ -85,15 +85,15 @@
         for (std::size_t index = 0; index < names.size(); ++index) {
             if (up_at[index] > now)
                 continue;
-            for (const auto& step : ledgers[index]->tick(now)) {
+            for (const auto& step : tables[index]->tick(now)) {
                 ++costs.messages;
                 const std::size_t peer = index_of(step.witness);
                 if (up_at[peer] > now)
                     continue;
                 for (const auto& page :
-                     ledgers[peer]->on_recover_request(step.body, now)) {
+                     tables[peer]->on_recover_request(step.body, now)) {
                     ++costs.messages;
-                    ledgers[index]->on_recover_reply(page, now);
+                    tables[index]->on_recover_reply(page, now);
                 }
             }
         }
@@ -122,8 +122,8 @@
                 if (up_at[index] > now)
                     continue;
                 ++costs.messages;
-                tally.add(ledgers[index]->on_claim({tally.wanted(), {voter, 0}},
-                                                   now));
+                tally.add(
+                    tables[index]->on_claim({tally.wanted(), {voter, 0}}, now));
             }
         }
         std::vector<bool> won(2, false);
@@ -134,7 +134,7 @@
             for (const std::string& voter : voters) {
                 ++costs.messages;
                 if (up_at[index_of(voter)] <= now)
-                    ledgers[index_of(voter)]->on_release(
+                    tables[index_of(voter)]->on_release(
                         {id, tallies[index].wanted().attempt}, now);
             }
         }
--- a/tests/bench/decisions.cpp
+++ b/tests/bench/decisions.cpp
@@ -64,15 +64,15 @@
           description_(make_manifest(std::string(chunks_, 'w'), 1)),
           version_(sha256(std::to_string(seed))),
           decisions_({}, members_.front().name),
-          neighbours_(placement(rendezvous_strategy{}, members_,
-                                members_.front().name, version_, chunks_)
+          neighbours_(chunk_assignment(rendezvous_strategy{}, members_,
+                                       members_.front().name, version_, chunks_)
                           .neighbours()),
           held_(neighbours_.size(), chunk_bitmap(chunks_)) {
         description_.total_bytes = std::uint64_t{chunks_} * chunk_bytes;
         description_.chunk_bytes = chunk_bytes;
         decisions_.set_budget({link_rate, false}, now_);
         decisions_.set_members(members_, now_);
-        decisions_.set_wanted({{version_, 1}}, now_);
+        decisions_.set_requested({{version_, 1}}, now_);
         decisions_.on_manifest(version_, description_, {}, now_);
     }
 
--- a/tests/placement.cpp
+++ b/tests/chunk_assignment.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/requests/placement.hpp>
+#include <ospreystage/requests/chunk_assignment.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -22,19 +22,19 @@
     return members;
 }
 
-placement place(const std::vector<swarm_member>& members,
-                const std::string& self,
-                const distribution_strategy& strategy = rendezvous_strategy{}) {
+chunk_assignment
+place(const std::vector<swarm_member>& members, const std::string& self,
+      const distribution_strategy& strategy = rendezvous_strategy{}) {
     return {strategy, members, self, version, chunks};
 }
 
 } // namespace
 
-TEST_CASE("placement - every chunk has one first reader") {
+TEST_CASE("chunk assignment - every chunk has one first reader") {
     const auto members = make_members(72);
     std::vector<int> readers(chunks, 0);
     for (const swarm_member& entry : members) {
-        const placement roles = place(members, entry.name);
+        const chunk_assignment roles = place(members, entry.name);
         for (std::uint32_t index = 0; index < chunks; ++index)
             readers[index] += roles.role(index).origin_rank == 0 ? 1 : 0;
     }
@@ -42,11 +42,11 @@
                       [](int count) { return count == 1; }));
 }
 
-TEST_CASE("placement - a chunk has one owner in each data centre") {
+TEST_CASE("chunk assignment - a chunk has one owner in each data centre") {
     const auto members = make_members(72);
     std::map<std::pair<std::string, std::uint32_t>, int> owners;
     for (const swarm_member& entry : members) {
-        const placement roles = place(members, entry.name);
+        const chunk_assignment roles = place(members, entry.name);
         for (std::uint32_t index = 0; index < chunks; ++index)
             owners[{entry.data_centre, index}] +=
                 roles.role(index).owner_rank == 0 ? 1 : 0;
@@ -55,9 +55,9 @@
                       [](const auto& entry) { return entry.second == 1; }));
 }
 
-TEST_CASE("placement - remote owners are those that own the chunk") {
+TEST_CASE("chunk assignment - remote owners are those that own the chunk") {
     const auto members = make_members(12);
-    const placement roles = place(members, "agent-0");
+    const chunk_assignment roles = place(members, "agent-0");
     for (std::uint32_t index = 0; index < chunks; ++index) {
         if (roles.role(index).origin_rank != 0)
             continue;
@@ -68,22 +68,22 @@
     }
 }
 
-TEST_CASE("placement - a removed member moves only its own chunks") {
+TEST_CASE("chunk assignment - a removed member moves only its own chunks") {
     const auto members = make_members(24);
     auto fewer = members;
     fewer.erase(fewer.begin() + 5);
     for (const swarm_member& entry : fewer) {
-        const placement before = place(members, entry.name);
-        const placement after = place(fewer, entry.name);
+        const chunk_assignment before = place(members, entry.name);
+        const chunk_assignment after = place(fewer, entry.name);
         for (std::uint32_t index = 0; index < chunks; ++index)
             if (before.role(index).owner_rank == 0)
                 CHECK(after.role(index).owner_rank <= 1);
     }
 }
 
-TEST_CASE("placement - neighbours stay few at 600 members") {
+TEST_CASE("chunk assignment - neighbours stay few at 600 members") {
     const auto members = make_members(600);
-    const placement roles = place(members, "agent-17");
+    const chunk_assignment roles = place(members, "agent-17");
     CHECK(roles.neighbours().size() == 24);
     const auto local = std::count_if(
         roles.neighbours().begin(), roles.neighbours().end(),
@@ -91,19 +91,20 @@
     CHECK(local == 18);
 }
 
-TEST_CASE("placement - direct reads everything from the origin") {
+TEST_CASE("chunk assignment - direct reads everything from the origin") {
     const auto members = make_members(6);
-    const placement roles = place(members, "agent-3", direct_strategy{});
+    const chunk_assignment roles = place(members, "agent-3", direct_strategy{});
     CHECK(roles.neighbours().empty());
     CHECK(roles.role(7).origin_rank == 0);
     CHECK_FALSE(roles.may_ask("agent-1"));
 }
 
-TEST_CASE("placement - a tree has one root and asks the parent alone") {
+TEST_CASE("chunk assignment - a tree has one root and asks the parent alone") {
     const auto members = make_members(7);
     int roots = 0;
     for (const swarm_member& entry : members) {
-        const placement roles = place(members, entry.name, tree_strategy{2});
+        const chunk_assignment roles =
+            place(members, entry.name, tree_strategy{2});
         const auto sources = std::count_if(
             members.begin(), members.end(), [&](const swarm_member& peer) {
                 return peer.name != entry.name && roles.may_ask(peer.name);
--- a/tests/claim.cpp
+++ b/tests/claim.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/requests/claim_ledger.hpp>
+#include <ospreystage/requests/claim_table.hpp>
 #include <ospreystage/requests/claim_tally.hpp>
 
 #include <catch2/catch.hpp>
@@ -22,20 +22,20 @@
     return {{organisation, key}, digest(64, 'd'), attempt, 0};
 }
 
-claim_ledger fresh_ledger(const std::string& name,
-                          std::uint64_t incarnation = 1) {
-    claim_ledger ledger({name, incarnation}, three, retention, start);
-    ledger.recovered_fresh();
-    return ledger;
+claim_table fresh_table(const std::string& name,
+                        std::uint64_t incarnation = 1) {
+    claim_table table({name, incarnation}, three, retention, start);
+    table.recovered_fresh();
+    return table;
 }
 
-claim_reply claim(claim_ledger& ledger, const claim_record& record,
+claim_reply claim(claim_table& table, const claim_record& record,
                   const std::string& witness, instant now = start) {
-    return ledger.on_claim({record, {witness, 0}}, now);
+    return table.on_claim({record, {witness, 0}}, now);
 }
 
 /// Lets `to` recover what `from` holds.
-void recover(claim_ledger& to, const process_id& to_id, claim_ledger& from,
+void recover(claim_table& to, const process_id& to_id, claim_table& from,
              instant now = start) {
     for (const auto& page : from.on_recover_request({to_id}, now))
         to.on_recover_reply(page, now);
@@ -63,65 +63,64 @@
 }
 
 TEST_CASE("claim - the first recorded attempt keeps its key") {
-    claim_ledger ledger = fresh_ledger("w-1");
-    CHECK(claim(ledger, record_of(attempt_a), "w-1").held.attempt == attempt_a);
-    CHECK(claim(ledger, record_of(attempt_b), "w-1").held.attempt == attempt_a);
-    CHECK(claim(ledger, record_of(attempt_a), "w-1").held.attempt == attempt_a);
+    claim_table table = fresh_table("w-1");
+    CHECK(claim(table, record_of(attempt_a), "w-1").held.attempt == attempt_a);
+    CHECK(claim(table, record_of(attempt_b), "w-1").held.attempt == attempt_a);
+    CHECK(claim(table, record_of(attempt_a), "w-1").held.attempt == attempt_a);
 }
 
 TEST_CASE("claim - two organisations may use the same key") {
-    claim_ledger ledger = fresh_ledger("w-1");
-    static_cast<void>(claim(ledger, record_of(attempt_a), "w-1"));
+    claim_table table = fresh_table("w-1");
+    static_cast<void>(claim(table, record_of(attempt_a), "w-1"));
     const claim_record other = record_of(attempt_b, "key", "tokachi");
-    CHECK(claim(ledger, other, "w-1").held.attempt == attempt_b);
-    CHECK(ledger.size() == 2);
+    CHECK(claim(table, other, "w-1").held.attempt == attempt_b);
+    CHECK(table.size() == 2);
 }
 
 TEST_CASE("claim - a release frees the key for its own attempt only") {
-    claim_ledger ledger = fresh_ledger("w-1");
-    static_cast<void>(claim(ledger, record_of(attempt_a), "w-1"));
-    ledger.on_release({{"board", "key"}, attempt_b}, start);
-    CHECK(claim(ledger, record_of(attempt_b), "w-1").held.attempt == attempt_a);
-    ledger.on_release({{"board", "key"}, attempt_a}, start);
-    CHECK(claim(ledger, record_of(attempt_b), "w-1").held.attempt == attempt_b);
+    claim_table table = fresh_table("w-1");
+    static_cast<void>(claim(table, record_of(attempt_a), "w-1"));
+    table.on_release({{"board", "key"}, attempt_b}, start);
+    CHECK(claim(table, record_of(attempt_b), "w-1").held.attempt == attempt_a);
+    table.on_release({{"board", "key"}, attempt_a}, start);
+    CHECK(claim(table, record_of(attempt_b), "w-1").held.attempt == attempt_b);
 }
 
 TEST_CASE("claim - a key is kept for the retention and not longer") {
-    claim_ledger ledger = fresh_ledger("w-1");
-    static_cast<void>(claim(ledger, record_of(attempt_a), "w-1"));
+    claim_table table = fresh_table("w-1");
+    static_cast<void>(claim(table, record_of(attempt_a), "w-1"));
     const instant last = start + retention - milliseconds{1};
-    CHECK(claim(ledger, record_of(attempt_b), "w-1", last).held.attempt ==
+    CHECK(claim(table, record_of(attempt_b), "w-1", last).held.attempt ==
           attempt_a);
     const instant after = start + retention;
-    CHECK(claim(ledger, record_of(attempt_b), "w-1", after).held.attempt ==
+    CHECK(claim(table, record_of(attempt_b), "w-1", after).held.attempt ==
           attempt_b);
 }
 
 TEST_CASE("claim - a full ledger refuses and forgets nothing") {
-    claim_ledger ledger({"w-1", 1}, three, retention, start, 2);
-    ledger.recovered_fresh();
-    static_cast<void>(claim(ledger, record_of(attempt_a, "1"), "w-1"));
-    static_cast<void>(claim(ledger, record_of(attempt_a, "2"), "w-1"));
-    CHECK(claim(ledger, record_of(attempt_a, "3"), "w-1").recovering);
-    const auto again = claim(ledger, record_of(attempt_b, "1"), "w-1");
+    claim_table table({"w-1", 1}, three, retention, start, 2);
+    table.recovered_fresh();
+    static_cast<void>(claim(table, record_of(attempt_a, "1"), "w-1"));
+    static_cast<void>(claim(table, record_of(attempt_a, "2"), "w-1"));
+    CHECK(claim(table, record_of(attempt_a, "3"), "w-1").recovering);
+    const auto again = claim(table, record_of(attempt_b, "1"), "w-1");
     CHECK_FALSE(again.recovering);
     CHECK(again.held.attempt == attempt_a);
-    CHECK(ledger.size() == 2);
+    CHECK(table.size() == 2);
 }
 
 TEST_CASE("claim - a claim meant for another incarnation gets no vote") {
-    claim_ledger ledger = fresh_ledger("w-1", 2);
-    CHECK(
-        ledger.on_claim({record_of(attempt_a), {"w-1", 1}}, start).recovering);
-    CHECK(ledger.size() == 0);
+    claim_table table = fresh_table("w-1", 2);
+    CHECK(table.on_claim({record_of(attempt_a), {"w-1", 1}}, start).recovering);
+    CHECK(table.size() == 0);
 }
 
 TEST_CASE("claim - a restarted voter does not vote before it is recovered") {
-    claim_ledger first = fresh_ledger("w-1");
-    claim_ledger third = fresh_ledger("w-3");
+    claim_table first = fresh_table("w-1");
+    claim_table third = fresh_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
     const process_id again{"w-2", 2};
-    claim_ledger second(again, three, retention, start);
+    claim_table second(again, three, retention, start);
     CHECK(claim(second, record_of(attempt_b), "w-2").recovering);
     CHECK(second.tick(start).size() == 2);
     recover(second, again, third);
@@ -136,9 +135,9 @@
 TEST_CASE("claim - an answer of a recovering voter does not count") {
     const process_id one{"w-1", 2};
     const process_id two{"w-2", 2};
-    claim_ledger first(one, three, retention, start);
-    claim_ledger second(two, three, retention, start);
-    claim_ledger third = fresh_ledger("w-3");
+    claim_table first(one, three, retention, start);
+    claim_table second(two, three, retention, start);
+    claim_table third = fresh_table("w-3");
     recover(first, one, second);
     recover(second, two, first);
     recover(first, one, third);
@@ -149,9 +148,9 @@
 }
 
 TEST_CASE("claim - an answer to an earlier incarnation does not count") {
-    claim_ledger second({"w-2", 3}, three, retention, start);
-    claim_ledger first = fresh_ledger("w-1");
-    claim_ledger third = fresh_ledger("w-3");
+    claim_table second({"w-2", 3}, three, retention, start);
+    claim_table first = fresh_table("w-1");
+    claim_table third = fresh_table("w-3");
     for (const auto& page : first.on_recover_request({{"w-2", 2}}, start))
         second.on_recover_reply(page, start);
     for (const auto& page : third.on_recover_request({{"w-2", 2}}, start))
@@ -160,19 +159,19 @@
 }
 
 TEST_CASE("claim - a single witness waits for the retention") {
-    claim_ledger ledger({"w-1", 1}, {"w-1"}, retention, start);
-    CHECK(claim(ledger, record_of(attempt_a), "w-1").recovering);
+    claim_table table({"w-1", 1}, {"w-1"}, retention, start);
+    CHECK(claim(table, record_of(attempt_a), "w-1").recovering);
     const instant later = start + retention;
-    CHECK_FALSE(claim(ledger, record_of(attempt_a), "w-1", later).recovering);
+    CHECK_FALSE(claim(table, record_of(attempt_a), "w-1", later).recovering);
 }
 
 TEST_CASE("claim - recovered claims that contradict give no vote") {
-    claim_ledger first = fresh_ledger("w-1");
-    claim_ledger third = fresh_ledger("w-3");
+    claim_table first = fresh_table("w-1");
+    claim_table third = fresh_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
     static_cast<void>(claim(third, record_of(attempt_b), "w-3"));
     const process_id again{"w-2", 2};
-    claim_ledger second(again, three, retention, start);
+    claim_table second(again, three, retention, start);
     recover(second, again, first);
     recover(second, again, third);
     CHECK(second.is_recovered(start));
@@ -187,19 +186,19 @@
 TEST_CASE(
     "claim - voters that restart together vote on keys they don't share") {
     const std::vector<std::string> five{"w-1", "w-2", "w-3", "w-4", "w-5"};
-    std::map<std::string, claim_ledger> ledgers;
+    std::map<std::string, claim_table> tables;
     for (const std::string& name : five) {
-        claim_ledger ledger({name, 1}, five, retention, start);
-        ledger.recovered_fresh();
-        ledgers.emplace(name, std::move(ledger));
+        claim_table table({name, 1}, five, retention, start);
+        table.recovered_fresh();
+        tables.emplace(name, std::move(table));
     }
     const process_id again_1{"w-1", 2};
     const process_id again_2{"w-2", 2};
-    claim_ledger first(again_1, five, retention, start);
-    claim_ledger second(again_2, five, retention, start);
+    claim_table first(again_1, five, retention, start);
+    claim_table second(again_2, five, retention, start);
     for (const char* name : {"w-3", "w-4", "w-5"}) {
-        recover(first, again_1, ledgers.at(name));
-        recover(second, again_2, ledgers.at(name));
+        recover(first, again_1, tables.at(name));
+        recover(second, again_2, tables.at(name));
     }
     recover(first, again_1, second);
     recover(second, again_2, first);
@@ -225,12 +224,12 @@
 }
 
 TEST_CASE("claim - a recovery answer keeps the age of its records") {
-    claim_ledger first = fresh_ledger("w-1");
-    claim_ledger third = fresh_ledger("w-3");
+    claim_table first = fresh_table("w-1");
+    claim_table third = fresh_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
     const instant later = start + milliseconds{400'000};
     const process_id again{"w-2", 2};
-    claim_ledger second(again, three, retention, later);
+    claim_table second(again, three, retention, later);
     recover(second, again, first, later);
     recover(second, again, third, later);
     CHECK(second.size() == 1);
@@ -241,13 +240,13 @@
 }
 
 TEST_CASE("claim - a large recovery comes in pages") {
-    claim_ledger first = fresh_ledger("w-1");
-    claim_ledger third = fresh_ledger("w-3");
+    claim_table first = fresh_table("w-1");
+    claim_table third = fresh_table("w-3");
     for (int index = 0; index < 9000; ++index)
         static_cast<void>(
             claim(first, record_of(attempt_a, std::to_string(index)), "w-1"));
     const process_id again{"w-2", 2};
-    claim_ledger second(again, three, retention, start);
+    claim_table second(again, three, retention, start);
     recover(second, again, third);
     const auto pages = first.on_recover_request({again}, start);
     REQUIRE(pages.size() == 3);
@@ -322,14 +321,14 @@
 TEST_CASE("claim - an amnesiac voter cannot give its key twice") {
     // A has the vote of w-2, which restarts; B gets the votes of the new w-2
     // and of w-3; A's claim reaches w-1 last.
-    claim_ledger first = fresh_ledger("w-1");
-    claim_ledger second = fresh_ledger("w-2");
-    claim_ledger third = fresh_ledger("w-3");
+    claim_table first = fresh_table("w-1");
+    claim_table second = fresh_table("w-2");
+    claim_table third = fresh_table("w-3");
     claim_tally tally_a(record_of(attempt_a), three);
     claim_tally tally_b(record_of(attempt_b), three);
     tally_a.add(claim(second, record_of(attempt_a), "w-2"));
     const process_id again{"w-2", 2};
-    claim_ledger restarted(again, three, retention, start);
+    claim_table restarted(again, three, retention, start);
     recover(restarted, again, first);
     recover(restarted, again, third);
     tally_b.add(claim(restarted, record_of(attempt_b), "w-2"));
@@ -341,7 +340,7 @@
     }
     SECTION("w-1 restarted too and learned of it by its own recovery") {
         const process_id one{"w-1", 2};
-        claim_ledger recovered(one, three, retention, start);
+        claim_table recovered(one, three, retention, start);
         recover(recovered, one, restarted);
         recover(recovered, one, third);
         tally_a.add(claim(recovered, record_of(attempt_a), "w-1"));
@@ -352,17 +351,17 @@
 TEST_CASE("claim - a voter restarted twice still knows who restarted") {
     // As above, but B claims only after w-1 has recovered, so that nothing but
     // `known` keeps A's old vote from counting.
-    claim_ledger second = fresh_ledger("w-2");
-    claim_ledger third = fresh_ledger("w-3");
-    claim_ledger first = fresh_ledger("w-1");
+    claim_table second = fresh_table("w-2");
+    claim_table third = fresh_table("w-3");
+    claim_table first = fresh_table("w-1");
     claim_tally tally_a(record_of(attempt_a), three);
     tally_a.add(claim(second, record_of(attempt_a), "w-2"));
     const process_id two{"w-2", 2};
-    claim_ledger new_second(two, three, retention, start);
+    claim_table new_second(two, three, retention, start);
     recover(new_second, two, first);
     recover(new_second, two, third);
     const process_id one{"w-1", 2};
-    claim_ledger new_first(one, three, retention, start);
+    claim_table new_first(one, three, retention, start);
     recover(new_first, one, new_second);
     recover(new_first, one, third);
     tally_a.add(claim(new_first, record_of(attempt_a), "w-1"));
--- a/tests/config_register.cpp
+++ b/tests/config_register.cpp
@@ -11,7 +11,7 @@
 const std::vector<std::string> three = {"w1", "w2", "w3"};
 
 /// What witness `name` tells of itself; `answers` is the question's sequence.
-revisions_heard report(const std::string& name, revision number,
+revision_report report(const std::string& name, revision number,
                        std::uint64_t answers = 0,
                        std::uint64_t incarnation = 1) {
     const process_id id{name, incarnation};
@@ -32,12 +32,12 @@
 /// its questions to them have the sequences 11 and 12.
 config_register asking_agent() {
     config_register node({"a1", 1}, process_role::agent, three, 1);
-    static_cast<void>(node.platform_read(json_of(2), instant()));
-    static_cast<void>(node.heard(report("w1", 2), instant()));
-    REQUIRE(questions(node.heard(report("w2", 2), instant())) ==
+    static_cast<void>(node.on_platform_read(json_of(2), instant()));
+    static_cast<void>(node.on_revision_report(report("w1", 2), instant()));
+    REQUIRE(questions(node.on_revision_report(report("w2", 2), instant())) ==
             std::vector<std::string>{"w1", "w2"});
-    node.asked("w1", 11);
-    node.asked("w2", 12);
+    node.on_witness_asked("w1", 11);
+    node.on_witness_asked("w2", 12);
     return node;
 }
 
@@ -47,16 +47,16 @@
           "confirmed that it holds it") {
     const instant now{};
     config_register node({"a1", 1}, process_role::agent, three, 1);
-    CHECK(node.platform_read(json_of(1), now).empty());
-    CHECK(node.heard(report("w1", 1), now).empty());
+    CHECK(node.on_platform_read(json_of(1), now).empty());
+    CHECK(node.on_revision_report(report("w1", 1), now).empty());
     // Holding a higher revision counts as well.
-    CHECK(questions(node.heard(report("w2", 4), now)).size() == 2);
+    CHECK(questions(node.on_revision_report(report("w2", 4), now)).size() == 2);
     CHECK(in_force(node) == 0);
-    node.asked("w1", 11);
-    node.asked("w2", 12);
-    CHECK(questions(node.heard(report("w1", 1, 11), now)).empty());
+    node.on_witness_asked("w1", 11);
+    node.on_witness_asked("w2", 12);
+    CHECK(questions(node.on_revision_report(report("w1", 1, 11), now)).empty());
     CHECK(in_force(node) == 0);
-    const auto actions = node.heard(report("w2", 4, 12), now);
+    const auto actions = node.on_revision_report(report("w2", 4, 12), now);
     CHECK(in_force(node) == 1);
     bool told = false;
     for (const register_action& action : actions)
@@ -68,29 +68,29 @@
           "question confirms") {
     const instant now{};
     config_register node = asking_agent();
-    static_cast<void>(node.heard(report("w1", 2, 11), now));
+    static_cast<void>(node.on_revision_report(report("w1", 2, 11), now));
     SECTION("the answer to an earlier ping does not") {
-        static_cast<void>(node.heard(report("w2", 2, 10), now));
+        static_cast<void>(node.on_revision_report(report("w2", 2, 10), now));
         CHECK(in_force(node) == 0);
     }
     SECTION("a datagram that answers nothing does not") {
-        static_cast<void>(node.heard(report("w2", 2), now));
+        static_cast<void>(node.on_revision_report(report("w2", 2), now));
         CHECK(in_force(node) == 0);
     }
     SECTION("a restarted witness does not") {
-        static_cast<void>(node.heard(report("w2", 2, 12, 2), now));
+        static_cast<void>(node.on_revision_report(report("w2", 2, 12, 2), now));
         CHECK(in_force(node) == 0);
     }
     SECTION("a witness that reports nothing does not") {
-        static_cast<void>(node.heard(report("w2", 0, 12), now));
+        static_cast<void>(node.on_revision_report(report("w2", 0, 12), now));
         CHECK(in_force(node) == 0);
     }
     SECTION("a witness that was not asked does not") {
-        static_cast<void>(node.heard(report("w3", 2, 12), now));
+        static_cast<void>(node.on_revision_report(report("w3", 2, 12), now));
         CHECK(in_force(node) == 0);
     }
     SECTION("the right answer does") {
-        static_cast<void>(node.heard(report("w2", 2, 12), now));
+        static_cast<void>(node.on_revision_report(report("w2", 2, 12), now));
         CHECK(in_force(node) == 2);
     }
 }
@@ -99,24 +99,24 @@
           "begins anew") {
     const instant now{};
     config_register node = asking_agent();
-    static_cast<void>(node.heard(report("w1", 2, 11), now));
+    static_cast<void>(node.on_revision_report(report("w1", 2, 11), now));
     CHECK(questions(node.tick(now + seconds(1))).size() == 2);
-    node.asked("w1", 21);
-    node.asked("w2", 22);
-    static_cast<void>(node.heard(report("w2", 2, 22), now));
+    node.on_witness_asked("w1", 21);
+    node.on_witness_asked("w2", 22);
+    static_cast<void>(node.on_revision_report(report("w2", 2, 22), now));
     CHECK(in_force(node) == 0); // w1 has to answer again
-    static_cast<void>(node.heard(report("w1", 2, 21), now));
+    static_cast<void>(node.on_revision_report(report("w1", 2, 21), now));
     CHECK(in_force(node) == 2);
 }
 
 TEST_CASE("config_register - a revision in force elsewhere needs no question") {
     config_register node({"a1", 1}, process_role::agent, three, 1);
     static_cast<void>(node.receive(push_of("a2", 2), instant()));
-    static_cast<void>(node.heard_in_force(2));
+    static_cast<void>(node.on_in_force_elsewhere(2));
     CHECK(in_force(node) == 0); // not recovered
-    static_cast<void>(node.platform_read(json_of(1), instant()));
+    static_cast<void>(node.on_platform_read(json_of(1), instant()));
     CHECK(in_force(node) == 2);
-    static_cast<void>(node.heard_in_force(5));
+    static_cast<void>(node.on_in_force_elsewhere(5));
     CHECK(in_force(node) == 2);
 }
 
@@ -126,12 +126,12 @@
     config_register w2({"w2", 1}, process_role::entry, three, 1);
     config_register w3({"w3", 1}, process_role::entry, three, 1);
     for (config_register* node : {&w2, &w3})
-        static_cast<void>(node->platform_read(json_of(1), now));
+        static_cast<void>(node->on_platform_read(json_of(1), now));
     // w1 held revision 2 and told only a1, then restarted with nothing and
     // recovered from w2 and w3, which did not have revision 2 yet.
     config_register a1({"a1", 1}, process_role::agent, three, 1);
-    static_cast<void>(a1.platform_read(json_of(2), now));
-    static_cast<void>(a1.heard(report("w1", 2), now));
+    static_cast<void>(a1.on_platform_read(json_of(2), now));
+    static_cast<void>(a1.on_revision_report(report("w1", 2), now));
     config_register w1({"w1", 2}, process_role::entry, three, 1);
     for (config_register* node : {&w2, &w3})
         static_cast<void>(w1.receive(node->answer({{"w1", 2}, 0}), now));
@@ -139,11 +139,13 @@
     REQUIRE(w1.document() == 1);
     // w2 gets revision 2 now: one witness of three holds it.
     static_cast<void>(w2.receive(push_of("a1", 2), now));
-    CHECK(questions(a1.heard(report("w2", 2), now)).size() == 2);
-    a1.asked("w1", 11);
-    a1.asked("w2", 12);
-    static_cast<void>(a1.heard({{"w1", 2}, w1.document(), w1.held(), 11}, now));
-    static_cast<void>(a1.heard({{"w2", 1}, w2.document(), w2.held(), 12}, now));
+    CHECK(questions(a1.on_revision_report(report("w2", 2), now)).size() == 2);
+    a1.on_witness_asked("w1", 11);
+    a1.on_witness_asked("w2", 12);
+    static_cast<void>(
+        a1.on_revision_report({{"w1", 2}, w1.document(), w1.held(), 11}, now));
+    static_cast<void>(
+        a1.on_revision_report({{"w2", 1}, w2.document(), w2.held(), 12}, now));
     CHECK(in_force(a1) == 0);
     // So a process that starts and hears w1 and w3 misses nothing in force.
     config_register a2({"a2", 1}, process_role::agent, three, 1);
@@ -153,12 +155,14 @@
     CHECK(in_force(a2) <= 1);
     // The new run counts as soon as it holds the document itself.
     static_cast<void>(w1.receive(push_of("w2", 2), now));
-    static_cast<void>(a1.heard({{"w1", 2}, 2, w1.held(), 0}, now));
+    static_cast<void>(a1.on_revision_report({{"w1", 2}, 2, w1.held(), 0}, now));
     REQUIRE(questions(a1.tick(now)).size() == 2);
-    a1.asked("w1", 21);
-    a1.asked("w2", 22);
-    static_cast<void>(a1.heard({{"w1", 2}, 2, w1.held(), 21}, now));
-    static_cast<void>(a1.heard({{"w2", 1}, 2, w2.held(), 22}, now));
+    a1.on_witness_asked("w1", 21);
+    a1.on_witness_asked("w2", 22);
+    static_cast<void>(
+        a1.on_revision_report({{"w1", 2}, 2, w1.held(), 21}, now));
+    static_cast<void>(
+        a1.on_revision_report({{"w2", 1}, 2, w2.held(), 22}, now));
     CHECK(in_force(a1) == 2);
 }
 
@@ -176,7 +180,7 @@
         static_cast<void>(node.receive(reply, now));
     }
     CHECK(node.recovered());
-    static_cast<void>(node.heard_in_force(2));
+    static_cast<void>(node.on_in_force_elsewhere(2));
     CHECK(in_force(node) == 0);
     static_cast<void>(node.receive(push_of("w1", 2), now));
     CHECK(in_force(node) == 2);
@@ -193,6 +197,6 @@
     CHECK(refused->reason.peer == "a2");
     CHECK(node.document() == 0);
     // A damaged value of the platform recovers nothing.
-    static_cast<void>(node.platform_read("{}", instant()));
+    static_cast<void>(node.on_platform_read("{}", instant()));
     CHECK_FALSE(node.recovered());
 }
--- a/tests/config_spread.cpp
+++ b/tests/config_spread.cpp
@@ -26,7 +26,7 @@
     for (const char* name : {"a1", "a2"})
         all.add(name, process_role::agent, three);
     for (const char* name : {"w1", "w2", "w3", "a1", "a2"})
-        all.apply(name, all.at(name).platform_read("", all.now));
+        all.apply(name, all.at(name).on_platform_read("", all.now));
     return all;
 }
 
@@ -41,7 +41,7 @@
 
 TEST_CASE("config_spread - an accepted document is in force everywhere") {
     register_group all = started_group();
-    all.apply("w2", all.at("w2").accepted(json_of(1)));
+    all.apply("w2", all.at("w2").on_accepted(json_of(1)));
     all.gossip();
     all.gossip();
     CHECK(all.count_in_force(1) == 5);
@@ -53,7 +53,7 @@
     all.add("a1", process_role::agent, {"w1"});
     all.apply("a1", all.at("a1").tick(all.now));
     CHECK_FALSE(all.at("a1").recovered()); // the witness is not recovered
-    all.apply("w1", all.at("w1").platform_read(json_of(3), all.now));
+    all.apply("w1", all.at("w1").on_platform_read(json_of(3), all.now));
     CHECK(in_force(all.at("w1")) == 3);
     all.gossip();
     all.gossip();
@@ -64,12 +64,12 @@
 TEST_CASE("config_spread - what is in force never goes down") {
     register_group all = started_group();
     for (const revision number : {1U, 2U, 3U})
-        all.apply("w1", all.at("w1").accepted(json_of(number)));
+        all.apply("w1", all.at("w1").on_accepted(json_of(number)));
     all.gossip();
     REQUIRE(all.count_in_force(3) == 5);
-    all.apply("a1", all.at("a1").platform_read(json_of(2), all.now));
+    all.apply("a1", all.at("a1").on_platform_read(json_of(2), all.now));
     all.apply("a1", all.at("a1").receive(push_of("a2", 1), all.now));
-    all.apply("a1", all.at("a1").platform_read("", all.now));
+    all.apply("a1", all.at("a1").on_platform_read("", all.now));
     CHECK(in_force(all.at("a1")) == 3);
     CHECK(all.at("a1").document() == 3);
 }
@@ -79,7 +79,7 @@
     all.passes = [](const std::string&, const std::string& to) {
         return to != "a2";
     };
-    all.apply("w1", all.at("w1").accepted(json_of(1)));
+    all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     CHECK(all.at("a2").document() == 0);
     all.passes = [](const std::string&, const std::string&) { return true; };
     all.gossip();
@@ -90,13 +90,13 @@
 TEST_CASE("config_spread - a node restarts with nothing, the platform is "
           "down and its nearest peer is behind") {
     register_group all = started_group();
-    all.apply("w1", all.at("w1").accepted(json_of(1)));
+    all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
     // Revision 2 reaches everybody but a2, the peer that stands nearest.
     all.passes = [](const std::string& from, const std::string& to) {
         return from != "a2" && to != "a2";
     };
-    all.apply("w1", all.at("w1").accepted(json_of(2)));
+    all.apply("w1", all.at("w1").on_accepted(json_of(2)));
     all.gossip();
     REQUIRE(in_force(all.at("a1")) == 2);
     REQUIRE(in_force(all.at("a2")) == 1);
@@ -121,7 +121,7 @@
 TEST_CASE("config_spread - a restarted witness reports nothing before it "
           "has heard from a majority of the others") {
     register_group all = started_group();
-    all.apply("w1", all.at("w1").accepted(json_of(1)));
+    all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
     all.add("w3", process_role::entry, three, 2);
     all.passes = [](const std::string& from, const std::string& to) {
@@ -148,13 +148,13 @@
 
 TEST_CASE("config_spread - an entry paused for a minute comes back") {
     register_group all = started_group();
-    all.apply("w1", all.at("w1").accepted(json_of(1)));
+    all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
     all.passes = [](const std::string& from, const std::string& to) {
         return from != "w3" && to != "w3";
     };
     for (const revision number : {2U, 3U})
-        all.apply("w1", all.at("w1").accepted(json_of(number)));
+        all.apply("w1", all.at("w1").on_accepted(json_of(number)));
     for (int second = 0; second < 60; ++second)
         all.gossip();
     REQUIRE(in_force(all.at("w3")) == 1);
@@ -170,7 +170,7 @@
 TEST_CASE("config_spread - a minority side of a partition puts nothing new "
           "in force until it heals") {
     register_group all = started_group();
-    all.apply("w1", all.at("w1").accepted(json_of(1)));
+    all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
     const auto is_left = [](const std::string& name) {
         return name == "w3" || name == "a2";
@@ -179,7 +179,7 @@
         return is_left(from) == is_left(to);
     };
     // The operator's entry is on the small side; the platform is reachable.
-    all.apply("w3", all.at("w3").accepted(json_of(2)));
+    all.apply("w3", all.at("w3").on_accepted(json_of(2)));
     for (int round = 0; round < 10; ++round)
         all.gossip();
     CHECK(all.count_in_force(1) == 5);
@@ -198,7 +198,7 @@
     for (int index = 0; index < 192; ++index)
         all.add("a" + std::to_string(index), process_role::agent, witnesses);
     all.introduce();
-    all.apply("e7", all.at("e7").accepted(json_of(1)));
+    all.apply("e7", all.at("e7").on_accepted(json_of(1)));
     std::size_t reached = 0;
     for (int index = 0; index < 192; ++index)
         reached += all.at("a" + std::to_string(index)).document();
--- a/tests/distribution.cpp
+++ b/tests/distribution.cpp
@@ -41,10 +41,10 @@
             node->start();
     }
 
-    void want(const std::vector<wanted_version>& versions) {
+    void request_versions(const std::vector<requested_version>& versions) {
         for (auto& [name, node] : nodes_)
             node->core.post("distribution", [&node = *node, versions] {
-                service(node).want(versions);
+                service(node).request_versions(versions);
             });
     }
 
@@ -146,7 +146,7 @@
     agents fleet(6);
     const digest version = fleet.publish(model);
     fleet.start();
-    fleet.want({{version, 1}});
+    fleet.request_versions({{version, 1}});
     REQUIRE(eventually(patience, [&] { return fleet.complete(version); }));
     CHECK(fleet.bytes("agent-4", describe(model)) == all_bytes(model));
     CHECK(fleet.origin_copies(version) <= 1.05);
@@ -157,7 +157,7 @@
     const digest version = fleet.publish(model);
     fleet.origin.post("/control/faults", {{"corrupt_percent", 5}});
     fleet.start();
-    fleet.want({{version, 1}});
+    fleet.request_versions({{version, 1}});
     REQUIRE(eventually(patience, [&] { return fleet.complete(version); }));
     CHECK(fleet.corrupt_chunks() > 0);
     CHECK(fleet.bytes("agent-1", describe(model)) == all_bytes(model));
@@ -168,10 +168,10 @@
     const digest first = fleet.publish(large_model);
     const digest second = fleet.publish(successor);
     fleet.start();
-    fleet.want({{first, 1}});
+    fleet.request_versions({{first, 1}});
     REQUIRE(
         eventually(patience, [&] { return fleet.origin_copies(first) > 0.2; }));
-    fleet.want({{second, 1}});
+    fleet.request_versions({{second, 1}});
     REQUIRE(eventually(patience, [&] { return fleet.complete(second); }));
     CHECK(fleet.origin_copies(first) < 1);
     CHECK_FALSE(fleet.complete(first));
@@ -182,7 +182,7 @@
     agents fleet(6);
     const digest version = fleet.publish(model);
     fleet.start();
-    fleet.want({{version, 1}});
+    fleet.request_versions({{version, 1}});
     REQUIRE(eventually(patience,
                        [&] { return fleet.origin_copies(version) > 0.3; }));
     fleet.stop("agent-3");
@@ -194,7 +194,7 @@
     agents fleet(6);
     const digest version = fleet.publish(model);
     fleet.start();
-    fleet.want({{version, 1}});
+    fleet.request_versions({{version, 1}});
     REQUIRE(eventually(patience,
                        [&] { return fleet.origin_copies(version) >= 1; }));
     fleet.origin.post("/control/faults", {{"down", true}});
--- a/tests/engine_loader.cpp
+++ b/tests/engine_loader.cpp
@@ -24,7 +24,7 @@
 /// An agent that holds version 2, beside an engine with `in_use`.
 engine_loader holding(std::uint64_t in_use, instant turn) {
     engine_loader loader;
-    loader.want(2, chunks, turn);
+    loader.request_version(2, chunks, turn);
     loader.on_held(2);
     loader.on_report({in_use, false, 5, 1}, start);
     return loader;
@@ -69,7 +69,7 @@
 
 TEST_CASE("engine loader - nothing happens until every chunk is held") {
     engine_loader loader;
-    loader.want(2, chunks, start);
+    loader.request_version(2, chunks, start);
     loader.on_report({0, false, 0, 1}, start);
     CHECK(is<std::monostate>(loader.next(start)));
 }
--- a/tests/gateway.cpp
+++ b/tests/gateway.cpp
@@ -25,7 +25,7 @@
     path_fixture()
         : load({}, 1), client(core),
           gate(core, client, routes, servers, load, figures,
-               platform::make_dialect(),
+               platform::make_caller_protocol(),
                {[] { return 1U; },
                 [](const std::string&) { return std::uint64_t{0}; },
                 [](const backend_server&, microseconds) {}},
@@ -276,7 +276,7 @@
     path.add_route(request_kind::streaming, false);
     path.add_servers({server.endpoint()});
     const auto result = path.ask();
-    CHECK(result.end == call_end::cut);
+    CHECK(result.end == call_end::truncated);
 }
 
 TEST_CASE("gateway - an unanswered request ends at its route's timeout") {
@@ -325,7 +325,7 @@
     path.add_route(request_kind::streaming, true);
     path.add_servers({first.endpoint(), second.endpoint()});
     const auto result = path.ask();
-    CHECK(result.end == call_end::cut);
+    CHECK(result.end == call_end::truncated);
     CHECK(result.response.body == joined(1, 3));
 }
 
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -294,7 +294,7 @@
     fleet all(3);
     all.start_all(26);
     all.run(seconds(10));
-    all.deliver("p0", all.at("p0").listed({{"vm-p9", true}}, all.now));
+    all.deliver("p0", all.at("p0").on_vm_list({{"vm-p9", true}}, all.now));
     all.run(seconds(3));
     CHECK(all.users("p9") == 0);
     CHECK(all.at("p9").self().listed_leaving);
@@ -307,12 +307,12 @@
     // The VM was replaced; the list still shows the state of its predecessor.
     all.start("p9", 2);
     for (int poll = 0; poll < 10; ++poll) {
-        all.deliver("p0", all.at("p0").listed({{"vm-p9", true}}, all.now));
+        all.deliver("p0", all.at("p0").on_vm_list({{"vm-p9", true}}, all.now));
         all.run(seconds(1));
     }
     CHECK(all.users("p9") == 0);
     for (int poll = 0; poll < 5; ++poll) {
-        all.deliver("p0", all.at("p0").listed({{"vm-p9", false}}, all.now));
+        all.deliver("p0", all.at("p0").on_vm_list({{"vm-p9", false}}, all.now));
         all.run(seconds(1));
     }
     CHECK(all.users("p9") == 12);
@@ -322,7 +322,7 @@
     fleet all(2);
     all.start_all(8);
     all.run(seconds(10));
-    all.deliver("p0", all.at("p0").listed({{"vm-p1", false}}, all.now));
+    all.deliver("p0", all.at("p0").on_vm_list({{"vm-p1", false}}, all.now));
     all.run(seconds(5));
     CHECK(all.converged());
 }
--- a/tests/named_versions.cpp
+++ b/tests/named_versions.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/weights/named_versions.hpp>
+#include <ospreystage/weights/published_versions.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -11,39 +11,41 @@
 
 } // namespace
 
-TEST_CASE("named versions - older versions end before the limit") {
-    named_versions versions(limit);
-    REQUIRE(versions.on_named("m", 2, true, start));
-    CHECK(versions.least("m", start + seconds(1)) == 0);
-    CHECK(versions.least("m", start + limit) == 2);
+TEST_CASE("published versions - older versions end before the limit") {
+    published_versions versions(limit);
+    REQUIRE(versions.on_published("m", 2, true, start));
+    CHECK(versions.min_version("m", start + seconds(1)) == 0);
+    CHECK(versions.min_version("m", start + limit) == 2);
 }
 
-TEST_CASE("named versions - a newer version does not extend the older limit") {
-    named_versions versions(limit);
-    REQUIRE(versions.on_named("m", 2, true, start));
-    REQUIRE(versions.on_named("m", 3, true, start + seconds(3)));
+TEST_CASE(
+    "published versions - a newer version does not extend the older limit") {
+    published_versions versions(limit);
+    REQUIRE(versions.on_published("m", 2, true, start));
+    REQUIRE(versions.on_published("m", 3, true, start + seconds(3)));
     CHECK(versions.find("m")->version == 3);
-    CHECK(versions.least("m", start + limit) == 2);
-    CHECK(versions.least("m", start + seconds(3) + limit) == 3);
+    CHECK(versions.min_version("m", start + limit) == 2);
+    CHECK(versions.min_version("m", start + seconds(3) + limit) == 3);
 }
 
-TEST_CASE("named versions - a new limit holds for versions that are known") {
-    named_versions versions(limit);
-    REQUIRE(versions.on_named("m", 2, true, start));
-    CHECK(versions.least("m", start + seconds(1)) == 0);
+TEST_CASE(
+    "published versions - a new limit holds for versions that are known") {
+    published_versions versions(limit);
+    REQUIRE(versions.on_published("m", 2, true, start));
+    CHECK(versions.min_version("m", start + seconds(1)) == 0);
     versions.set_limit(seconds(2));
-    CHECK(versions.least("m", start + seconds(1)) == 2);
+    CHECK(versions.min_version("m", start + seconds(1)) == 2);
 }
 
-TEST_CASE("named versions - one that was named before the start is due") {
-    named_versions versions(limit);
-    REQUIRE(versions.on_named("m", 2, false, start));
-    CHECK(versions.least("m", start) == 2);
+TEST_CASE("published versions - one that was named before the start is due") {
+    published_versions versions(limit);
+    REQUIRE(versions.on_published("m", 2, false, start));
+    CHECK(versions.min_version("m", start) == 2);
 }
 
-TEST_CASE("named versions - an older version is not taken back") {
-    named_versions versions(limit);
-    REQUIRE(versions.on_named("m", 3, true, start));
-    CHECK_FALSE(versions.on_named("m", 2, true, start));
+TEST_CASE("published versions - an older version is not taken back") {
+    published_versions versions(limit);
+    REQUIRE(versions.on_published("m", 3, true, start));
+    CHECK_FALSE(versions.on_published("m", 2, true, start));
     CHECK(versions.find("m")->version == 3);
 }
--- a/tests/platform_wire.cpp
+++ b/tests/platform_wire.cpp
@@ -145,7 +145,7 @@
     const service_description& engine = configuration->services.at(0);
     REQUIRE(engine.engine);
     CHECK(engine.engine->steps_per_pass == 5);
-    CHECK(engine.engine->usual_prompt_tokens == 979);
+    CHECK(engine.engine->typical_prompt_tokens == 979);
     CHECK(engine.engine->load_time == milliseconds(300));
     CHECK(configuration->services.at(1).origin == "172.20.0.3:8006");
     CHECK(configuration->limits.idle_timeout == seconds(9));
@@ -218,7 +218,7 @@
 }
 
 TEST_CASE("wire - a request to a server carries what the entry decides") {
-    const caller_dialect dialect = make_dialect();
+    const caller_protocol protocol = make_caller_protocol();
     http_request request;
     request.fields = {{"Host", "a.example"},
                       {"X-Request-Id", "r1"},
@@ -229,12 +229,12 @@
                       {"Connection", "close, X-Private"},
                       {"X-Private", "1"},
                       {"X-Other", "kept"}};
-    const caller_request caller = dialect.read_request(request);
+    const caller_request caller = protocol.read_request(request);
     CHECK(caller.id == "r1");
     CHECK(caller.key == "secret");
     CHECK(caller.time_left == milliseconds(6000));
     CHECK(caller.prompt_tokens == 1460);
-    const http_fields fields = dialect.attempt_fields(
+    const http_fields fields = protocol.attempt_fields(
         request, {milliseconds(4200), "mills", "i-1", 0, 3, 12});
     CHECK(*find_field(fields, "X-Request-Deadline") == "4200");
     CHECK(*find_field(fields, "X-Tenant") == "mills");
@@ -248,13 +248,13 @@
 }
 
 TEST_CASE("wire - what says that a server did not run a request") {
-    const caller_dialect dialect = make_dialect();
+    const caller_protocol protocol = make_caller_protocol();
     http_response response;
     response.status = 503;
-    CHECK_FALSE(dialect.is_not_run(response));
+    CHECK_FALSE(protocol.is_not_run(response));
     response.fields = {{"X-Not-Executed", "1"}};
-    CHECK(dialect.is_not_run(response));
+    CHECK(protocol.is_not_run(response));
     response = {};
     response.status = 421;
-    CHECK(dialect.is_not_run(response));
+    CHECK(protocol.is_not_run(response));
 }
--- a/tests/repeat_window.cpp
+++ b/tests/retry_window.cpp
@@ -1,4 +1,4 @@
-#include <ospreystage/serving/repeat_window.hpp>
+#include <ospreystage/serving/retry_window.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -8,7 +8,7 @@
 
 const instant start{};
 
-int spend_all(repeat_window& window, std::uint32_t entries, instant now) {
+int spend_all(retry_window& window, std::uint32_t entries, instant now) {
     int spent = 0;
     while (spent < 1000 && window.spend(entries, now))
         ++spent;
@@ -17,14 +17,14 @@
 
 } // namespace
 
-TEST_CASE("repeat window - all entries together keep to the budget") {
+TEST_CASE("retry window - all entries together keep to the budget") {
     constexpr double ratio = 0.2;
     constexpr double allowance = 100;
     constexpr std::uint32_t entries = 8;
     constexpr int requests_each = 50;
     int spent = 0;
     for (std::uint32_t entry = 0; entry < entries; ++entry) {
-        repeat_window window({ratio, allowance, seconds(10)});
+        retry_window window({ratio, allowance, seconds(10)});
         for (int request = 0; request < requests_each; ++request)
             window.on_request(start);
         spent += spend_all(window, entries, start);
@@ -33,8 +33,8 @@
     CHECK(spent > 0);
 }
 
-TEST_CASE("repeat window - new limits count what was spent before") {
-    repeat_window window({0, 10, seconds(10)});
+TEST_CASE("retry window - new limits count what was spent before") {
+    retry_window window({0, 10, seconds(10)});
     const int spent = spend_all(window, 1, start);
     window.set_limits({0, 20, seconds(10)});
     const int more = spend_all(window, 1, start);
@@ -44,8 +44,8 @@
     CHECK(spend_all(window, 1, start) == 0);
 }
 
-TEST_CASE("repeat window - what was spent counts for a whole window") {
-    repeat_window window({0, 10, seconds(10)});
+TEST_CASE("retry window - what was spent counts for a whole window") {
+    retry_window window({0, 10, seconds(10)});
     const int spent = spend_all(window, 1, start);
     CHECK(spent > 0);
     CHECK(spend_all(window, 1, start + seconds(9)) == 0);
--- a/tests/site_watch.cpp
+++ b/tests/site_watch.cpp
@@ -76,7 +76,7 @@
         settings.name = "edge-1";
         settings.front = {"10.1.0.40", 8005};
         settings.drain_time = milliseconds(300);
-        settings.store_least_lease = milliseconds(250);
+        settings.min_store_lease = milliseconds(250);
         core.post("test", [this] { watch.start(); });
     }
 
@@ -86,7 +86,7 @@
     store_client client;
     route_table routes;
     backend_registry servers;
-    named_versions versions;
+    published_versions versions;
     entry_list entries;
     site_watch watch;
 };
@@ -240,7 +240,7 @@
         [&] {
             const auto named = entry.versions.find("m");
             return entry.routes.current().version == 4 && named &&
-                   named->version == 2 && named->saw_naming;
+                   named->version == 2 && named->is_observed;
         },
         seconds(1)));
 }
--- a/tests/support/register_group.cpp
+++ b/tests/support/register_group.cpp
@@ -56,12 +56,12 @@
         for (auto& [to, node] : nodes_) {
             if (from == to || !passes(from, to))
                 continue;
-            apply(to, node.heard({{from, incarnations_.at(from)},
-                                  source.document(),
-                                  source.held(),
-                                  0},
-                                 now));
-            apply(to, node.heard_in_force(in_force(source)));
+            apply(to, node.on_revision_report({{from, incarnations_.at(from)},
+                                               source.document(),
+                                               source.held(),
+                                               0},
+                                              now));
+            apply(to, node.on_in_force_elsewhere(in_force(source)));
         }
     }
     for (auto& [name, node] : nodes_)
@@ -91,7 +91,7 @@
                               const std::string& witness) {
     gossip_ping ping;
     ping.sequence = ++sequence_;
-    nodes_.at(from).asked(witness, ping.sequence);
+    nodes_.at(from).on_witness_asked(witness, ping.sequence);
     queue_.push_back({from, witness, ping});
 }
 
@@ -107,8 +107,8 @@
         queue_.push_back({next.to, next.from, answer(next.to, *ping)});
     if (const auto* ack = std::get_if<gossip_ack>(&next.value))
         post(next.to,
-             node.heard({ack->sender, ack->document, ack->held, ack->sequence},
-                        now));
+             node.on_revision_report(
+                 {ack->sender, ack->document, ack->held, ack->sequence}, now));
 }
 
 gossip_ack register_group::answer(const std::string& name,
--- a/tests/support/request_cluster.cpp
+++ b/tests/support/request_cluster.cpp
@@ -140,7 +140,7 @@
     node.id = {fmt::format("vm-{}", index), next_incarnation_++};
     node.engine = index < engine_agents;
     node.versions = {version_a, version_b};
-    node.value = std::make_unique<gate>(node.id, configuration_);
+    node.value = std::make_unique<attempt_scheduler>(node.id, configuration_);
     node.runs.clear();
     node.latest.clear();
     for (connection& link : links_) {
@@ -151,8 +151,8 @@
 }
 
 void request_cluster::serve(agent_node& agent) {
-    const gate_service served{agent.engine ? "pool" : "records", agent.engine,
-                              agent.versions, true};
+    const scheduled_service served{agent.engine ? "pool" : "records",
+                                   agent.engine, agent.versions, true};
     const auto index = static_cast<std::size_t>(&agent - agents_.data());
     apply_at_agent(index, agent.value->set_service(served, now_));
 }
@@ -163,7 +163,7 @@
     std::vector<std::string> names;
     for (const auto& witness : configuration_.cluster.witnesses)
         names.push_back(witness.name);
-    node.value = std::make_unique<claim_ledger>(
+    node.value = std::make_unique<claim_table>(
         node.id, names, configuration_.cluster.claim_retention, now_);
 }
 
--- a/tests/support/request_cluster.hpp
+++ b/tests/support/request_cluster.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
+#include <ospreystage/requests/attempt_scheduler.hpp>
 #include <ospreystage/requests/broker.hpp>
-#include <ospreystage/requests/claim_ledger.hpp>
-#include <ospreystage/requests/gate.hpp>
+#include <ospreystage/requests/claim_table.hpp>
 
 #include <cstddef>
 #include <cstdint>
@@ -44,7 +44,8 @@
     std::uint64_t keyed_runs = 0; ///< Those of non-idempotent requests.
 };
 
-/// Brokers, gates and ledgers joined by queues in place of connections.
+/// Brokers, attempt schedulers and claim tables joined by queues in place of
+/// connections.
 ///
 /// A schedule picks the next delivery, back-end event, request or fault at
 /// random from its seed. It checks that each request has one outcome, that a
@@ -68,7 +69,7 @@
         process_id id;
         bool engine = true;
         std::vector<digest> versions;
-        std::unique_ptr<gate> value;
+        std::unique_ptr<attempt_scheduler> value;
         std::map<attempt_id, back_end_run> runs;
         /// Highest incarnation and epoch greeted with, per entry.
         std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> latest;
@@ -82,7 +83,7 @@
     };
     struct witness_node {
         process_id id;
-        std::unique_ptr<claim_ledger> value;
+        std::unique_ptr<claim_table> value;
     };
     struct connection {
         std::size_t entry = 0;
@@ -140,8 +141,9 @@
     void send_claim_frame(std::size_t from, std::size_t to, message body);
     [[nodiscard]] const process_id& id_of(std::size_t index) const;
     void apply(std::size_t entry, const broker::actions& actions);
-    void apply_at_agent(std::size_t agent, const gate::actions& actions);
-    void send_to_entry(std::size_t agent, const gate_send& send);
+    void apply_at_agent(std::size_t agent,
+                        const attempt_scheduler::actions& actions);
+    void send_frame_to_entry(std::size_t agent, const send_to_entry& send);
     void apply_send(std::size_t entry, const send_action& send);
     void record_attempt(std::size_t entry, const attempt_id& attempt);
     void open_link(std::size_t entry, const std::string& agent);
--- a/tests/support/request_cluster_links.cpp
+++ b/tests/support/request_cluster_links.cpp
@@ -85,7 +85,7 @@
 }
 
 void request_cluster::take_at_agent(connection& link, const message& body) {
-    gate& target = *agents_[link.agent].value;
+    attempt_scheduler& target = *agents_[link.agent].value;
     const process_id& entry = link.entry_id;
     const std::size_t agent = link.agent;
     std::visit(
@@ -207,22 +207,26 @@
     }
 }
 
-void request_cluster::apply_at_agent(std::size_t agent,
-                                     const gate::actions& actions) {
+void request_cluster::apply_at_agent(
+    std::size_t agent, const attempt_scheduler::actions& actions) {
     for (const auto& action : actions) {
-        std::visit(
-            impl::overloaded{
-                [&](const gate_start& start) { start_run(agent, start.order); },
-                [&](const gate_cancel& cancel) {
-                    agents_[agent].runs.erase(cancel.attempt);
-                },
-                [&](const gate_send& send) { send_to_entry(agent, send); },
-            },
-            action);
+        std::visit(impl::overloaded{
+                       [&](const start_attempt& start) {
+                           start_run(agent, start.order);
+                       },
+                       [&](const cancel_attempt& cancel) {
+                           agents_[agent].runs.erase(cancel.attempt);
+                       },
+                       [&](const send_to_entry& send) {
+                           send_frame_to_entry(agent, send);
+                       },
+                   },
+                   action);
     }
 }
 
-void request_cluster::send_to_entry(std::size_t agent, const gate_send& send) {
+void request_cluster::send_frame_to_entry(std::size_t agent,
+                                          const send_to_entry& send) {
     for (connection& link : links_) {
         if (link.agent == agent && link.greeted && !link.agent_closed &&
             link.entry_id == send.entry)
@@ -264,22 +268,22 @@
 
 void request_cluster::take_at_witness(std::size_t index, std::size_t sender,
                                       const claim_frame& frame) {
-    claim_ledger& ledger = *witnesses_[index].value;
+    claim_table& table = *witnesses_[index].value;
     const std::size_t self = entries_.size() + index;
     std::visit(
         impl::overloaded{
             [&](const claim_request& request) {
-                send_claim_frame(self, sender, ledger.on_claim(request, now_));
+                send_claim_frame(self, sender, table.on_claim(request, now_));
             },
             [&](const claim_release& release) {
-                ledger.on_release(release, now_);
+                table.on_release(release, now_);
             },
             [&](const recover_request& request) {
-                for (auto& page : ledger.on_recover_request(request, now_))
+                for (auto& page : table.on_recover_request(request, now_))
                     send_claim_frame(self, sender, std::move(page));
             },
             [&](const recover_reply& reply) {
-                ledger.on_recover_reply(reply, now_);
+                table.on_recover_reply(reply, now_);
             },
             [](const auto&) {},
         },
--- a/tests/support/swarm_experiment.cpp
+++ b/tests/support/swarm_experiment.cpp
@@ -132,7 +132,7 @@
         std::chrono::duration<double>(chunk_time_).count());
     budget.shared_directions = scenario_.shared_directions;
     node.decisions->set_budget(budget, now_);
-    node.decisions->set_wanted({{version_, 1}}, now_);
+    node.decisions->set_requested({{version_, 1}}, now_);
 }
 
 void experiment::tell_members() {
--- a/tests/swarm.cpp
+++ b/tests/swarm.cpp
@@ -55,7 +55,7 @@
                      const swarm_options& options = {})
         : decisions(options, self) {
         decisions.set_members(std::move(members), now);
-        decisions.set_wanted({{version, 1}}, now);
+        decisions.set_requested({{version, 1}}, now);
     }
 
     void know_manifest(std::uint32_t chunks) {
@@ -70,7 +70,7 @@
             const auto actions = decisions.tick(now);
             for (const auto& action : only<fetch_chunk>(actions))
                 fetched.push_back(action);
-            for (const auto& action : only<give_up_peer>(actions))
+            for (const auto& action : only<reconnect_peer>(actions))
                 given_up.push_back(action.peer);
         }
         return fetched;
@@ -176,7 +176,7 @@
     const auto first = agent.pass(milliseconds(20));
     REQUIRE_FALSE(first.empty());
     agent.finish(first[0], fetch_outcome::stored);
-    agent.decisions.set_wanted({{other_version, 1}}, agent.now);
+    agent.decisions.set_requested({{other_version, 1}}, agent.now);
     agent.finish(first.back(), fetch_outcome::stored);
     CHECK(agent.pass(milliseconds(3000)).empty());
     CHECK(agent.given_up.empty());
@@ -187,7 +187,8 @@
 
 TEST_CASE("swarm - the version of the highest priority is fetched first") {
     fixture agent(one_data_centre(3));
-    agent.decisions.set_wanted({{version, 1}, {other_version, 9}}, agent.now);
+    agent.decisions.set_requested({{version, 1}, {other_version, 9}},
+                                  agent.now);
     agent.know_manifest(32);
     agent.decisions.on_manifest(other_version, make_description(4), {},
                                 agent.now);
