--- a/tests/version_plan.cpp
+++ b/tests/version_plan.cpp
@@ -15,8 +15,8 @@
 version_plan with_two_versions() {
     version_plan plan;
     plan.on_in_use(1);
-    REQUIRE(plan.on_named(2, start, true));
-    REQUIRE(plan.on_named(3, start + seconds(3), true));
+    REQUIRE(plan.on_published(2, start, true));
+    REQUIRE(plan.on_published(3, start + seconds(3), true));
     plan.on_manifest(2, make_description('2'));
     plan.on_manifest(3, make_description('3'));
     return plan;
@@ -26,10 +26,10 @@
 
 TEST_CASE("version plan - the older version is fetched first") {
     const version_plan plan = with_two_versions();
-    const auto wanted = plan.wanted();
-    REQUIRE(wanted.size() == 2);
-    CHECK(wanted[0].version == version_of(make_description('2')));
-    CHECK(wanted[0].priority > wanted[1].priority);
+    const auto requested = plan.requested();
+    REQUIRE(requested.size() == 2);
+    CHECK(requested[0].version == version_of(make_description('2')));
+    CHECK(requested[0].priority > requested[1].priority);
 }
 
 TEST_CASE("version plan - the target is the newest version that is held") {
@@ -46,27 +46,27 @@
 TEST_CASE("version plan - a skipped version keeps its time until it is met") {
     version_plan plan = with_two_versions();
     REQUIRE(plan.on_held(version_of(make_description('3'))));
-    CHECK(plan.oldest_naming() == start);
+    CHECK(plan.oldest_publication() == start);
     plan.on_in_use(3);
-    CHECK_FALSE(plan.oldest_naming());
+    CHECK_FALSE(plan.oldest_publication());
 }
 
 TEST_CASE("version plan - a naming that was seen replaces a guess") {
     version_plan plan;
     plan.on_in_use(1);
-    REQUIRE(plan.on_named(2, start - seconds(8), false));
-    CHECK_FALSE(plan.on_named(2, start, true));
-    CHECK(plan.oldest_naming() == start);
-    CHECK_FALSE(plan.on_named(2, start - seconds(8), false));
-    CHECK(plan.oldest_naming() == start);
+    REQUIRE(plan.on_published(2, start - seconds(8), false));
+    CHECK_FALSE(plan.on_published(2, start, true));
+    CHECK(plan.oldest_publication() == start);
+    CHECK_FALSE(plan.on_published(2, start - seconds(8), false));
+    CHECK(plan.oldest_publication() == start);
 }
 
 TEST_CASE("version plan - a restarted engine is due for all again") {
     version_plan plan;
     plan.on_in_use(2);
-    REQUIRE(plan.on_named(2, start, true));
-    CHECK_FALSE(plan.oldest_naming());
+    REQUIRE(plan.on_published(2, start, true));
+    CHECK_FALSE(plan.oldest_publication());
     plan.on_in_use(0);
-    CHECK_FALSE(plan.on_named(2, start, true));
-    CHECK(plan.oldest_naming() == start);
+    CHECK_FALSE(plan.on_published(2, start, true));
+    CHECK(plan.oldest_publication() == start);
 }
--- a/tests/web_client.cpp
+++ b/tests/web_client.cpp
@@ -108,14 +108,14 @@
 TEST_CASE("web client - a response that ends early is cut") {
     const outcome result =
         fetch_once({"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart", true});
-    CHECK(result.end == call_end::cut);
+    CHECK(result.end == call_end::truncated);
 }
 
 TEST_CASE("web client - a chunked response without its end is cut") {
     const outcome result = fetch_once(
         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
          true});
-    CHECK(result.end == call_end::cut);
+    CHECK(result.end == call_end::truncated);
 }
 
 TEST_CASE("web client - bytes that are no response are malformed") {
@@ -241,11 +241,11 @@
     kernel core;
     web_client client(core);
     outcome result;
-    CHECK(client.has_room(server.endpoint(), 1));
+    CHECK(client.has_free_connection(server.endpoint(), 1));
     fetch(client, server, "one", result);
-    CHECK_FALSE(client.has_room(server.endpoint(), 1));
-    CHECK(client.has_room(server.endpoint(), 2));
-    CHECK(client.has_room(server.endpoint(), 0));
+    CHECK_FALSE(client.has_free_connection(server.endpoint(), 1));
+    CHECK(client.has_free_connection(server.endpoint(), 2));
+    CHECK(client.has_free_connection(server.endpoint(), 0));
     run_until(core, [&] { return result.has_ended; });
-    CHECK(client.has_room(server.endpoint(), 1));
+    CHECK(client.has_free_connection(server.endpoint(), 1));
 }
