--- a/include/ospreystage/routing/route_table.hpp
+++ b/include/ospreystage/routing/route_table.hpp
@@ -22,7 +22,7 @@
 
 /// Where a request goes.
 struct routed_request {
-    const route* path = nullptr;
+    const route* matched_route = nullptr;
     /// Organisation that holds the key, or null for a public route.
     const organisation_keys* organisation = nullptr;
     std::uint32_t priority = 0;
@@ -47,8 +47,8 @@
                                           std::string_view key) const;
 
     /// Chooses the service of a request; `draw` is uniform in [0, 1).
-    [[nodiscard]] static const std::string& choose_service(const route& path,
-                                                           double draw);
+    [[nodiscard]] static const std::string&
+    choose_service(const route& matched_route, double draw);
 
     [[nodiscard]] const service_description*
     service(const std::string& name) const;
@@ -63,8 +63,8 @@
   private:
     routing_configuration current_;
     /// Positions in `routes` by host, the longest prefix first.
-    absl::flat_hash_map<std::string, std::vector<std::size_t>> by_host_;
-    absl::flat_hash_map<std::string, std::size_t> by_key_;
+    absl::flat_hash_map<std::string, std::vector<std::size_t>> routes_by_host_;
+    absl::flat_hash_map<std::string, std::size_t> organisations_by_key_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/routing/routing_configuration.hpp
+++ b/include/ospreystage/routing/routing_configuration.hpp
@@ -13,8 +13,8 @@
 
 /// What may be repeated when the outcome of an attempt is not known.
 enum class request_kind : std::uint8_t {
-    safe,      ///< May run more than once.
-    unsafe,    ///< Runs at most once.
+    idempotent,     ///< May run more than once.
+    non_idempotent, ///< Runs at most once.
     streaming, ///< A series of events; as `unsafe` unless it may be resumed.
 };
 
@@ -30,11 +30,12 @@
     std::string name;
     std::string host;
     std::string path_prefix; ///< Begins and ends with a slash.
-    request_kind kind = request_kind::unsafe;
+    request_kind kind = request_kind::non_idempotent;
     std::vector<route_target> targets;
-    milliseconds timeout{};   ///< Longest time to a whole answer; 0: none.
-    milliseconds objective{}; ///< To the answer, or to a stream's first event.
-    milliseconds max_gap{};   ///< Longest pause between two events.
+    milliseconds timeout{}; ///< Longest time to a whole answer; 0: none.
+    milliseconds
+        target_latency{};      ///< To the answer, or to a stream's first event.
+    milliseconds target_gap{}; ///< Longest pause between two events.
     std::uint32_t priority = 0;     ///< 0 is the most urgent.
     std::uint32_t max_attempts = 1; ///< Backend servers one request may reach.
     bool is_public = false;         ///< Needs no key.
--- a/include/ospreystage/serving/backend_load.hpp
+++ b/include/ospreystage/serving/backend_load.hpp
@@ -29,18 +29,18 @@
 
 /// How an attempt at a backend server ended, for the view of its health.
 enum class attempt_result : std::uint8_t {
-    answered, ///< An answer of the server, whatever it says.
-    refused,  ///< It said that it did not run the request.
-    failed,   ///< It failed, was cut or could not be reached.
-    silent,   ///< Nothing came for too long.
-    given_up, ///< The caller left: says nothing of the server.
+    answered,  ///< An answer of the server, whatever it says.
+    refused,   ///< It said that it did not run the request.
+    failed,    ///< It failed, was cut or could not be reached.
+    timed_out, ///< Nothing came for too long.
+    cancelled, ///< The caller left: says nothing of the server.
 };
 
 /// What is asked of a placement.
 struct placement_request {
     const service_description* service = nullptr;
     std::uint32_t prompt_tokens = 0;
-    milliseconds objective{};
+    milliseconds target_latency{};
     /// The caller was refused before: the objective has passed already.
     bool is_late = false;
     /// Oldest weight version that may answer; 0: any.
@@ -50,22 +50,22 @@
 };
 
 /// The request goes to this server.
-struct placed {
+struct placement {
     std::string server;
-    std::uint64_t version = 0;   ///< Engines: that is believed to be held.
-    double in_flight = 0;        ///< Requests there, as far as it is known.
-    milliseconds backlog{};      ///< Of prompts that it has to read.
-    milliseconds wait{};         ///< Estimated time to the first event.
-    microseconds prefill_time{}; ///< Time that this prompt takes to read.
+    std::uint64_t version = 0;    ///< Engines: that is believed to be held.
+    double in_flight = 0;         ///< Requests there, as far as it is known.
+    milliseconds backlog{};       ///< Of prompts that it has to read.
+    milliseconds expected_wait{}; ///< Estimated time to the first event.
+    microseconds prefill_time{};  ///< Time that this prompt takes to read.
 };
 /// No server has room in time.
-struct no_room {
+struct no_capacity {
     milliseconds retry_after{};
 };
 /// No server of the service is known that could answer.
 struct no_server {};
 
-using placement_decision = std::variant<placed, no_room, no_server>;
+using placement_decision = std::variant<placement, no_capacity, no_server>;
 
 /// Tells where a request goes, from what is known of each server's load.
 ///
@@ -79,11 +79,11 @@
     struct options {
         /// Servers elsewhere are chosen only where they are clearly faster.
         std::string data_centre;
-        milliseconds report_lifetime{1000}; ///< Older reports say nothing.
+        milliseconds report_ttl{1000}; ///< Older reports say nothing.
         /// A server that failed is left alone for this long, doubled with each
         /// further failure up to `max_rest`.
-        milliseconds first_rest{500};
-        milliseconds max_rest{4000};
+        milliseconds min_backoff{500};
+        milliseconds max_backoff{4000};
     };
 
     backend_load(const options& limits, std::uint64_t seed);
@@ -98,10 +98,10 @@
     /// Estimates the time to the first event of a request that is sent to an
     /// engine with `in_flight` others, which takes `backlog` to read the
     /// prompts that it has.
-    [[nodiscard]] milliseconds first_event(const engine_profile& engine,
-                                           double in_flight,
-                                           milliseconds backlog,
-                                           std::uint32_t prompt_tokens) const;
+    [[nodiscard]] milliseconds
+    estimate_first_event(const engine_profile& engine, double in_flight,
+                         milliseconds backlog,
+                         std::uint32_t prompt_tokens) const;
 
     /// Time until an engine has read the prompts that it was sent.
     [[nodiscard]] milliseconds backlog(const std::string& server,
@@ -117,8 +117,8 @@
     void on_sent(const std::string& server, microseconds prefill_time,
                  instant now);
     /// Another entry did.
-    void on_sent_elsewhere(const std::string& server, microseconds prefill_time,
-                           instant now);
+    void on_sent_by_peer(const std::string& server, microseconds prefill_time,
+                         instant now);
     void on_ended(const std::string& server, attempt_result result,
                   instant now);
     void on_status(const std::string& server, const engine_status& status,
@@ -133,16 +133,16 @@
     struct load_record {
         std::uint32_t outstanding = 0; ///< Of this entry.
         std::optional<engine_status> status;
-        instant reported{};
-        std::uint32_t outstanding_then = 0;
-        instant reads_until{};      ///< When all prompts sent so far are read.
-        std::uint32_t failures = 0; ///< In a row.
-        instant rests_until{};
+        instant reported_at{};
+        std::uint32_t outstanding_at_report = 0;
+        instant prefill_until{}; ///< When all prompts sent so far are read.
+        std::uint32_t consecutive_failures = 0; ///< In a row.
+        instant backoff_until{};
     };
 
     [[nodiscard]] const load_record* find(const std::string& server) const;
-    static void add_prompt(load_record& record, microseconds prefill_time,
-                           instant now);
+    static void add_prefill(load_record& record, microseconds prefill_time,
+                            instant now);
     [[nodiscard]] bool has_fresh_status(const load_record& record,
                                         instant now) const;
     [[nodiscard]] std::uint64_t version_of(const backend_server& server,
--- a/include/ospreystage/serving/caller_protocol.hpp
+++ b/include/ospreystage/serving/caller_protocol.hpp
@@ -21,20 +21,20 @@
 };
 
 /// What an entry adds to a request that it sends to a backend server.
-struct attempt_terms {
+struct attempt_metadata {
     milliseconds time_left{};
-    std::string organisation;             ///< Empty: none.
-    std::string server;                   ///< The only server that may run it.
-    std::uint64_t weight_version = 0;     ///< 0: any.
-    std::optional<std::uint32_t> urgency; ///< 0 first, 9 last.
-    std::optional<std::uint64_t> after_event; ///< Resumes a stream.
+    std::string organisation;              ///< Empty: none.
+    std::string server;                    ///< The only server that may run it.
+    std::uint64_t weight_version = 0;      ///< 0: any.
+    std::optional<std::uint32_t> priority; ///< 0 first, 9 last.
+    std::optional<std::uint64_t> last_event_id; ///< Resumes a stream.
 };
 
 /// Translates between callers, the product and backend servers.
 struct caller_protocol {
     std::function<caller_request(const http_request&)> read_request;
     /// Returns the header fields of the request to the backend server.
-    std::function<http_fields(const http_request&, const attempt_terms&)>
+    std::function<http_fields(const http_request&, const attempt_metadata&)>
         attempt_fields;
     /// Returns true if the server says that it did not run the request.
     std::function<bool(const http_response&)> is_not_run;
--- a/include/ospreystage/serving/event_splitter.hpp
+++ b/include/ospreystage/serving/event_splitter.hpp
@@ -22,13 +22,15 @@
     [[nodiscard]] std::vector<stream_event> feed(std::string_view data);
 
     /// Bytes after the last whole event.
-    [[nodiscard]] const std::string& rest() const noexcept { return rest_; }
+    [[nodiscard]] const std::string& remainder() const noexcept {
+        return remainder_;
+    }
 
     /// Forgets the bytes after the last whole event.
-    void reset() noexcept { rest_.clear(); }
+    void reset() noexcept { remainder_.clear(); }
 
   private:
-    std::string rest_;
+    std::string remainder_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/serving/gateway.hpp
+++ b/include/ospreystage/serving/gateway.hpp
@@ -31,7 +31,7 @@
     std::function<std::uint64_t(const std::string& service)> min_version;
     /// Tells the other entries of a request whose prompt takes `prefill_time`.
     std::function<void(const backend_server& server, microseconds prefill_time)>
-        sent;
+        announce_attempt;
 };
 
 /// Takes callers' requests, sends each to a backend server and hands back its
@@ -44,8 +44,8 @@
   public:
     gateway(kernel& core, web_client& client, const route_table& routes,
             const backend_registry& servers, backend_load& load,
-            metrics& figures, caller_protocol protocol, gateway_context context,
-            const retry_window::options& retry_limits);
+            metrics& request_metrics, caller_protocol protocol,
+            gateway_context context, const retry_window::options& retry_limits);
 
     /// Sets the server that requests come from.
     void attach(web_server& server);
@@ -53,7 +53,7 @@
     /// Takes a request of the attached server.
     void on_request(exchange_id exchange, http_request request);
     /// The caller of a request has left.
-    void on_abandoned(exchange_id exchange);
+    void on_caller_disconnected(exchange_id exchange);
     /// The caller has read what was sent.
     void on_drained(exchange_id exchange);
 
@@ -77,9 +77,9 @@
         caller_request caller;
         std::string service;
         std::string organisation;
-        request_kind kind = request_kind::unsafe;
-        milliseconds objective{};
-        milliseconds max_gap{};
+        request_kind kind = request_kind::non_idempotent;
+        milliseconds target_latency{};
+        milliseconds target_gap{};
         std::uint32_t priority = 0;
         std::uint32_t max_attempts = 1;
         bool is_resumable = false;
@@ -88,18 +88,19 @@
         instant deadline{};
         timer_id deadline_timer{};
 
-        std::uint32_t sent = 0; ///< Times sent to a server.
-        std::uint32_t runs = 0; ///< Of these, not known not to have run.
+        std::uint32_t sent_attempts = 0; ///< Times sent to a server.
+        std::uint32_t possible_runs =
+            0; ///< Of these, not known not to have run.
         absl::flat_hash_set<std::string> tried;
         std::optional<call_id> call;
-        std::string server; ///< Of the call.
-        instant heard{};    ///< Last bytes of the call.
+        std::string server;      ///< Of the call.
+        instant last_received{}; ///< Last bytes of the call.
 
         http_response head; ///< Of the last attempt that was answered.
         bool is_event_stream = false;
-        bool has_begun = false; ///< The head was sent to the caller.
+        bool has_response_begun = false; ///< The head was sent to the caller.
         event_splitter events;
-        std::optional<std::uint64_t> last_event;
+        std::optional<std::uint64_t> last_event_id;
     };
 
     [[nodiscard]] request_record* find(exchange_id exchange);
@@ -109,35 +110,35 @@
                        const caller_request& caller,
                        const routed_request& routed);
     void place(exchange_id exchange);
-    void send(exchange_id exchange, const placed& chosen);
+    void send(exchange_id exchange, const placement& chosen);
     void on_head(exchange_id exchange, const http_response& head);
     void on_body(exchange_id exchange, std::string_view data);
     void on_call_ended(exchange_id exchange, call_end end);
     void on_stream_ended(exchange_id exchange, call_end end);
     void forward(exchange_id exchange, const stream_event& event);
-    void on_failed_attempt(exchange_id exchange, const char* reason,
+    void on_attempt_failed(exchange_id exchange, const char* reason,
                            bool may_have_run);
     void on_deadline(exchange_id exchange);
-    void check_silence();
+    void check_idle_attempts();
     void end_call(request_record& record, attempt_result result);
-    void give_up_call(request_record& record);
-    [[nodiscard]] bool may_repeat(request_record& record);
+    void cancel_call(request_record& record);
+    [[nodiscard]] bool acquire_retry(request_record& record);
 
     void refuse(exchange_id exchange, const char* reason,
                 milliseconds retry_after);
-    void answer(exchange_id exchange, const http_response& response,
-                const char* outcome);
+    void respond(exchange_id exchange, const http_response& response,
+                 const char* outcome);
     void fail_request(exchange_id exchange, std::uint16_t status,
                       const char* reason);
     void erase(exchange_id exchange, const char* outcome);
-    retry_window& retries_of(const std::string& service);
+    retry_window& retry_window_of(const std::string& service);
 
     kernel& core_;
     web_client& client_;
     const route_table& routes_;
     const backend_registry& servers_;
     backend_load& load_;
-    metrics& figures_;
+    metrics& metrics_;
     caller_protocol protocol_;
     gateway_context context_;
     retry_window::options retry_limits_;
@@ -148,7 +149,7 @@
         requests_;
     absl::flat_hash_map<std::string, retry_window> retries_;
     /// Last bytes heard from each server, on any call.
-    absl::flat_hash_map<std::string, instant> heard_;
+    absl::flat_hash_map<std::string, instant> last_received_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/serving/retry_window.hpp
+++ b/include/ospreystage/serving/retry_window.hpp
@@ -33,7 +33,7 @@
     [[nodiscard]] bool spend(std::uint32_t entries, instant now);
 
   private:
-    void advance(instant now);
+    void drop_expired(instant now);
 
     options limits_;
     std::deque<instant> requests_;
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string host_key(std::string_view host) {
+std::string normalize_host(std::string_view host) {
     const std::string_view name = host.substr(0, host.find(':'));
     return absl::AsciiStrToLower({name.data(), name.size()});
 }
@@ -24,11 +24,12 @@
     if (configuration.version <= current_.version)
         return false;
     current_ = std::move(configuration);
-    by_host_.clear();
-    by_key_.clear();
+    routes_by_host_.clear();
+    organisations_by_key_.clear();
     for (std::size_t index = 0; index < current_.routes.size(); ++index)
-        by_host_[host_key(current_.routes[index].host)].push_back(index);
-    for (auto& [host, indexes] : by_host_)
+        routes_by_host_[normalize_host(current_.routes[index].host)].push_back(
+            index);
+    for (auto& [host, indexes] : routes_by_host_)
         std::stable_sort(indexes.begin(), indexes.end(),
                          [this](std::size_t left, std::size_t right) {
                              return current_.routes[left].path_prefix.size() >
@@ -36,7 +37,7 @@
                          });
     for (std::size_t index = 0; index < current_.organisations.size(); ++index)
         for (const std::string& key : current_.organisations[index].keys)
-            by_key_.emplace(key, index);
+            organisations_by_key_.emplace(key, index);
     return true;
 }
 
@@ -45,8 +46,8 @@
                                      std::string_view key) const {
     if (!is_configured())
         return not_configured{};
-    const auto routes = by_host_.find(host_key(host));
-    if (routes == by_host_.end())
+    const auto routes = routes_by_host_.find(normalize_host(host));
+    if (routes == routes_by_host_.end())
         return no_route{};
     const std::string_view path = path_of(target);
     const auto found = std::find_if(
@@ -56,38 +57,41 @@
     if (found == routes->second.end())
         return no_route{};
     routed_request routed;
-    routed.path = &current_.routes[*found];
-    routed.priority = routed.path->priority;
+    routed.matched_route = &current_.routes[*found];
+    routed.priority = routed.matched_route->priority;
     if (current_.organisations.empty())
         return routed;
-    const auto holder = by_key_.find(std::string(key));
-    if (holder != by_key_.end()) {
-        routed.organisation = &current_.organisations[holder->second];
+    const auto key_entry = organisations_by_key_.find(std::string(key));
+    if (key_entry != organisations_by_key_.end()) {
+        routed.organisation = &current_.organisations[key_entry->second];
         routed.priority =
             routed.organisation->priority.value_or(routed.priority);
-    } else if (!routed.path->is_public) {
+    } else if (!routed.matched_route->is_public) {
         return unknown_key{};
     }
     return routed;
 }
 
-const std::string& route_table::choose_service(const route& path, double draw) {
+const std::string& route_table::choose_service(const route& matched_route,
+                                               double draw) {
     double total = 0;
-    for (const route_target& target : path.targets)
+    for (const route_target& target : matched_route.targets)
         total += target.weight;
-    double left = draw * total;
-    for (const route_target& target : path.targets) {
-        left -= target.weight;
-        if (left < 0)
+    double remaining = draw * total;
+    for (const route_target& target : matched_route.targets) {
+        remaining -= target.weight;
+        if (remaining < 0)
             return target.service;
     }
-    return path.targets.back().service;
+    return matched_route.targets.back().service;
 }
 
 const service_description* route_table::service(const std::string& name) const {
-    const auto found = std::find_if(
-        current_.services.begin(), current_.services.end(),
-        [&](const service_description& entry) { return entry.name == name; });
+    const auto found =
+        std::find_if(current_.services.begin(), current_.services.end(),
+                     [&](const service_description& description) {
+                         return description.name == name;
+                     });
     return found == current_.services.end() ? nullptr : &*found;
 }
 
--- a/src/serving/backend_load.cpp
+++ b/src/serving/backend_load.cpp
@@ -13,18 +13,18 @@
 constexpr double pairs_per_m = 1e6;
 /// Part of the objective that the estimate may fill: the rest is for the way
 /// and for what other entries send in the same moment.
-constexpr double objective_share = 0.8;
+constexpr double target_latency_share = 0.8;
 /// Part of the slots that requests may take which are late already.
 constexpr double late_slots_share = 0.8;
 /// Estimates that differ by less count as equal; one of them is drawn, so
 /// that the entries do not all choose the same server.
-constexpr double equal_ms = 15;
+constexpr double cost_tolerance_ms = 15;
 /// Added to the estimate of a server in another data centre: traffic between
 /// them is narrow and priced.
-constexpr double remote_ms = 10;
+constexpr double remote_penalty_ms = 10;
 /// Shortest and longest time after which a refused caller returns.
-constexpr milliseconds least_return{1000};
-constexpr milliseconds most_return{2000};
+constexpr milliseconds min_retry_after{1000};
+constexpr milliseconds max_retry_after{2000};
 /// Requests that a plain server may have waiting, by its slots.
 constexpr double plain_queue_factor = 2;
 
@@ -39,7 +39,7 @@
                        engine.step_ms_per_k_context * context_k));
 }
 
-double read_ms(const engine_profile& engine, double tokens) {
+double prefill_ms(const engine_profile& engine, double tokens) {
     if (engine.prefill_tokens_per_s <= 0)
         return 0;
     return tokens / engine.prefill_tokens_per_s * ms_per_s +
@@ -50,9 +50,10 @@
 double service_ms(const engine_profile& engine, double running) {
     const double passes =
         engine.typical_answer_tokens / std::max(1U, engine.steps_per_pass);
-    const double alone = passes * pass_ms(engine, running);
+    const double decode_time = passes * pass_ms(engine, running);
     // Each other request is read once in that time and holds up the passes.
-    return alone + running * read_ms(engine, engine.typical_prompt_tokens);
+    return decode_time +
+           running * prefill_ms(engine, engine.typical_prompt_tokens);
 }
 
 } // namespace
@@ -68,7 +69,7 @@
 
 bool backend_load::has_fresh_status(const load_record& record,
                                     instant now) const {
-    return record.status && now - record.reported <= limits_.report_lifetime;
+    return record.status && now - record.reported_at <= limits_.report_ttl;
 }
 
 std::optional<engine_status> backend_load::status(const std::string& server,
@@ -86,41 +87,46 @@
         return 0;
     if (!has_fresh_status(*record, now))
         return static_cast<double>(record->outstanding) * entries;
-    const double reported = record->status->running + record->status->queued;
-    const double since = static_cast<double>(record->outstanding) -
-                         static_cast<double>(record->outstanding_then);
-    return std::max(reported + since, static_cast<double>(record->outstanding));
+    const double reported_requests =
+        record->status->running + record->status->queued;
+    const double sent_since_report =
+        static_cast<double>(record->outstanding) -
+        static_cast<double>(record->outstanding_at_report);
+    return std::max(reported_requests + sent_since_report,
+                    static_cast<double>(record->outstanding));
 }
 
 std::uint64_t backend_load::version_of(const backend_server& server,
                                        const engine_profile& engine,
                                        instant now) const {
-    if (const auto seen = status(server.id, now))
-        return seen->is_loading ? 0 : seen->version;
+    if (const auto reported = status(server.id, now))
+        return reported->is_loading ? 0 : reported->version;
     return server.complete_version(engine.layers).value_or(0);
 }
 
 milliseconds backend_load::backlog(const std::string& server,
                                    instant now) const {
     const load_record* record = find(server);
-    if (record == nullptr || record->reads_until <= now)
+    if (record == nullptr || record->prefill_until <= now)
         return milliseconds(0);
-    return std::chrono::duration_cast<milliseconds>(record->reads_until - now);
+    return std::chrono::duration_cast<milliseconds>(record->prefill_until -
+                                                    now);
 }
 
-milliseconds backend_load::first_event(const engine_profile& engine,
-                                       double in_flight, milliseconds backlog,
-                                       std::uint32_t prompt_tokens) const {
+milliseconds
+backend_load::estimate_first_event(const engine_profile& engine,
+                                   double in_flight, milliseconds backlog,
+                                   std::uint32_t prompt_tokens) const {
     const double slots = std::max(1U, engine.slots);
     const double running = std::min(in_flight, slots);
     // The pass in progress ends, the prompts before this one and its own are
     // read, and a pass makes the event.
     double wait = 1.5 * pass_ms(engine, running) +
-                  read_ms(engine, prompt_tokens) +
+                  prefill_ms(engine, prompt_tokens) +
                   static_cast<double>(backlog.count());
-    const double ahead = in_flight - slots + 1;
-    if (ahead > 0)
-        wait += ahead * service_ms(engine, slots) / slots;
+    const double queued_ahead = in_flight - slots + 1;
+    if (queued_ahead > 0)
+        wait += queued_ahead * service_ms(engine, slots) / slots;
     return milliseconds(static_cast<std::int64_t>(wait));
 }
 
@@ -132,13 +138,13 @@
         const backend_server* server = nullptr;
         std::uint64_t version = 0;
         double cost = 0;
-        bool has_room = false;
+        bool has_capacity = false;
         double load = 0;
         milliseconds backlog{};
         milliseconds wait{};
     };
     const auto& engine = request.service->engine;
-    std::vector<candidate> resting;
+    std::vector<candidate> backing_off;
     std::vector<candidate> ready;
     for (const backend_server* server : servers) {
         if (request.tried != nullptr && request.tried->contains(server->id))
@@ -151,26 +157,28 @@
             if (next.version == 0 || next.version < request.min_version)
                 continue;
             next.backlog = backlog(server->id, now);
-            next.wait =
-                first_event(*engine, load, next.backlog, request.prompt_tokens);
+            next.wait = estimate_first_event(*engine, load, next.backlog,
+                                             request.prompt_tokens);
             next.cost = static_cast<double>(next.wait.count());
-            next.has_room = request.is_late
-                                ? load < engine->slots * late_slots_share
-                                : next.cost <= static_cast<double>(
-                                                   request.objective.count()) *
-                                                   objective_share;
+            next.has_capacity =
+                request.is_late
+                    ? load < engine->slots * late_slots_share
+                    : next.cost <=
+                          static_cast<double>(request.target_latency.count()) *
+                              target_latency_share;
             if (server->data_centre != limits_.data_centre)
-                next.cost += remote_ms;
+                next.cost += remote_penalty_ms;
         } else {
             next.cost = load / std::max(1U, server->slots);
-            next.has_room = next.cost < plain_queue_factor;
+            next.has_capacity = next.cost < plain_queue_factor;
         }
         const load_record* record = find(server->id);
-        const bool rests = record != nullptr && record->rests_until > now;
-        (rests ? resting : ready).push_back(next);
+        const bool is_backing_off =
+            record != nullptr && record->backoff_until > now;
+        (is_backing_off ? backing_off : ready).push_back(next);
     }
     if (ready.empty())
-        ready = std::move(resting);
+        ready = std::move(backing_off);
     if (ready.empty())
         return no_server{};
     const auto best =
@@ -178,41 +186,41 @@
                          [](const candidate& left, const candidate& right) {
                              return left.cost < right.cost;
                          });
-    if (!best->has_room) {
-        std::uniform_int_distribution<std::int64_t> spread(least_return.count(),
-                                                           most_return.count());
-        return no_room{milliseconds(spread(random_))};
+    if (!best->has_capacity) {
+        std::uniform_int_distribution<std::int64_t> retry_delay(
+            min_retry_after.count(), max_retry_after.count());
+        return no_capacity{milliseconds(retry_delay(random_))};
     }
-    const double limit = best->cost + (engine ? equal_ms : 0);
-    std::erase_if(ready, [&](const candidate& entry) {
-        return entry.cost > limit || !entry.has_room;
+    const double limit = best->cost + (engine ? cost_tolerance_ms : 0);
+    std::erase_if(ready, [&](const candidate& item) {
+        return item.cost > limit || !item.has_capacity;
     });
     std::uniform_int_distribution<std::size_t> draw(0, ready.size() - 1);
     const candidate& chosen = ready[draw(random_)];
-    placed result{chosen.server->id, chosen.version, chosen.load,
-                  chosen.backlog, chosen.wait};
+    placement result{chosen.server->id, chosen.version, chosen.load,
+                     chosen.backlog, chosen.wait};
     if (engine)
         result.prefill_time = microseconds(static_cast<std::int64_t>(
-            read_ms(*engine, request.prompt_tokens) * us_per_ms));
+            prefill_ms(*engine, request.prompt_tokens) * us_per_ms));
     return result;
 }
 
-void backend_load::add_prompt(load_record& record, microseconds prefill_time,
-                              instant now) {
-    record.reads_until = std::max(record.reads_until, now) + prefill_time;
+void backend_load::add_prefill(load_record& record, microseconds prefill_time,
+                               instant now) {
+    record.prefill_until = std::max(record.prefill_until, now) + prefill_time;
 }
 
 void backend_load::on_sent(const std::string& server, microseconds prefill_time,
                            instant now) {
     load_record& record = records_[server];
     ++record.outstanding;
-    add_prompt(record, prefill_time, now);
+    add_prefill(record, prefill_time, now);
 }
 
-void backend_load::on_sent_elsewhere(const std::string& server,
-                                     microseconds prefill_time, instant now) {
+void backend_load::on_sent_by_peer(const std::string& server,
+                                   microseconds prefill_time, instant now) {
     load_record& record = records_[server];
-    add_prompt(record, prefill_time, now);
+    add_prefill(record, prefill_time, now);
 }
 
 void backend_load::on_ended(const std::string& server, attempt_result result,
@@ -222,23 +230,23 @@
         --record.outstanding;
     switch (result) {
     case attempt_result::answered:
-        record.failures = 0;
-        record.rests_until = {};
+        record.consecutive_failures = 0;
+        record.backoff_until = {};
         break;
     case attempt_result::failed:
-    case attempt_result::silent: {
-        const auto doubled =
-            limits_.first_rest * (1U << std::min(record.failures, 4U));
-        record.rests_until = now + std::min(doubled, limits_.max_rest);
-        ++record.failures;
+    case attempt_result::timed_out: {
+        const auto backoff = limits_.min_backoff *
+                             (1U << std::min(record.consecutive_failures, 4U));
+        record.backoff_until = now + std::min(backoff, limits_.max_backoff);
+        ++record.consecutive_failures;
         break;
     }
     case attempt_result::refused:
         // It is full or changes its weights: the next report says which.
-        record.rests_until =
-            std::max(record.rests_until, now + limits_.first_rest / 5);
+        record.backoff_until =
+            std::max(record.backoff_until, now + limits_.min_backoff / 5);
         break;
-    case attempt_result::given_up:
+    case attempt_result::cancelled:
         break;
     }
 }
@@ -247,13 +255,13 @@
                              const engine_status& status, instant now) {
     load_record& record = records_[server];
     record.status = status;
-    record.reported = now;
-    record.outstanding_then = record.outstanding;
+    record.reported_at = now;
+    record.outstanding_at_report = record.outstanding;
 }
 
 void backend_load::retain(const absl::flat_hash_set<std::string>& listed) {
-    absl::erase_if(records_, [&](const auto& entry) {
-        return !listed.contains(entry.first) && entry.second.outstanding == 0;
+    absl::erase_if(records_, [&](const auto& item) {
+        return !listed.contains(item.first) && item.second.outstanding == 0;
     });
 }
 
--- a/src/serving/event_splitter.cpp
+++ b/src/serving/event_splitter.cpp
@@ -45,19 +45,19 @@
 } // namespace
 
 std::vector<stream_event> event_splitter::feed(std::string_view data) {
-    rest_.append(data);
+    remainder_.append(data);
     std::vector<stream_event> events;
     std::size_t start = 0;
     while (true) {
-        const std::size_t end = end_of_event(rest_, start);
+        const std::size_t end = end_of_event(remainder_, start);
         if (end == std::string::npos)
             break;
-        stream_event event{rest_.substr(start, end - start), std::nullopt};
+        stream_event event{remainder_.substr(start, end - start), std::nullopt};
         event.id = id_of(event.text);
         events.push_back(std::move(event));
         start = end;
     }
-    rest_.erase(0, start);
+    remainder_.erase(0, start);
     return events;
 }
 
--- a/src/serving/retry_window.cpp
+++ b/src/serving/retry_window.cpp
@@ -8,23 +8,23 @@
 
 /// Part of the budget that is used: what one entry sees of a window and what
 /// the fleet does in it differ by the time that requests are under way.
-constexpr double used_share = 0.7;
+constexpr double usable_budget_share = 0.7;
 
 } // namespace
 
 retry_window::retry_window(const options& limits) : limits_(limits) {}
 
 void retry_window::on_request(instant now) {
-    advance(now);
+    drop_expired(now);
     requests_.push_back(now);
 }
 
 bool retry_window::spend(std::uint32_t entries, instant now) {
-    advance(now);
+    drop_expired(now);
     const double share =
         limits_.allowance / static_cast<double>(std::max(entries, 1U));
     const double budget =
-        used_share *
+        usable_budget_share *
         (limits_.ratio * static_cast<double>(requests_.size()) + share);
     if (static_cast<double>(retries_.size()) + 1 > budget)
         return false;
@@ -32,7 +32,7 @@
     return true;
 }
 
-void retry_window::advance(instant now) {
+void retry_window::drop_expired(instant now) {
     const instant first = now - limits_.window;
     while (!requests_.empty() && requests_.front() < first)
         requests_.pop_front();
--- a/tests/backend_load.cpp
+++ b/tests/backend_load.cpp
@@ -64,16 +64,17 @@
     placement_request request;
     request.service = &service;
     request.prompt_tokens = 979;
-    request.objective = milliseconds(400);
+    request.target_latency = milliseconds(400);
     return request;
 }
 
 /// Entries that place a load on engines which read prompts one by one and
 /// answer `slots` requests at once.
-struct load_play {
-    explicit load_play(bool tells_others,
-                       milliseconds objective = milliseconds(400))
-        : tells_others_(tells_others), objective_(objective) {
+struct load_simulation {
+    explicit load_simulation(bool announces_attempts,
+                             milliseconds target_latency = milliseconds(400))
+        : announces_attempts_(announces_attempts),
+          target_latency_(target_latency) {
         for (std::uint64_t seed = 1; seed <= entry_count; ++seed)
             entries_.emplace_back(backend_load::options{}, seed);
     }
@@ -103,7 +104,7 @@
     static constexpr std::size_t engine_count = 12;
     static constexpr std::size_t slots = 16;
     static constexpr double report_s = 0.08;
-    static constexpr double read_s = 0.048;
+    static constexpr double prefill_s = 0.048;
     static constexpr double pass_s = 0.05;
 
     static instant time(double at) {
@@ -112,24 +113,24 @@
     }
 
     void place(double at, std::size_t entry, std::vector<double>& waits) {
-        placement_request asked = make_request(service_);
-        asked.objective = objective_;
-        const auto decision = entries_[entry].place(asked, pointers(servers_),
+        placement_request request = make_request(service_);
+        request.target_latency = target_latency_;
+        const auto decision = entries_[entry].place(request, pointers(servers_),
                                                     entry_count, time(at));
-        const auto* chosen = std::get_if<placed>(&decision);
+        const auto* chosen = std::get_if<placement>(&decision);
         if (chosen == nullptr) {
             ++refused;
             return;
         }
         const std::size_t engine = std::stoul(chosen->server.substr(2));
         entries_[entry].on_sent(chosen->server, chosen->prefill_time, time(at));
-        if (tells_others_)
+        if (announces_attempts_)
             for (std::size_t other = 0; other < entry_count; ++other)
                 if (other != entry)
-                    entries_[other].on_sent_elsewhere(
+                    entries_[other].on_sent_by_peer(
                         chosen->server, chosen->prefill_time, time(at));
-        double& free_at = reads_until_[engine];
-        free_at = std::max({free_at, at, slot_free_at(engine, at)}) + read_s;
+        double& free_at = prefill_until_[engine];
+        free_at = std::max({free_at, at, slot_free_at(engine, at)}) + prefill_s;
         waits.push_back((free_at - at + pass_s) * 1000);
         running_[engine].push_back({free_at + answer_s_(random_), entry});
     }
@@ -168,17 +169,17 @@
     std::mt19937_64 random_{11};
     /// Lengths of answers vary as much as their mean.
     std::exponential_distribution<double> answer_s_{1 / 1.2};
-    bool tells_others_;
-    milliseconds objective_;
+    bool announces_attempts_;
+    milliseconds target_latency_;
     service_description service_ = make_service();
     std::vector<backend_server> servers_ = make_servers(engine_count);
     std::vector<backend_load> entries_;
-    std::vector<double> reads_until_ = std::vector<double>(engine_count, 0);
+    std::vector<double> prefill_until_ = std::vector<double>(engine_count, 0);
     std::vector<std::vector<std::pair<double, std::size_t>>> running_ =
         std::vector<std::vector<std::pair<double, std::size_t>>>(engine_count);
 };
 
-double share_below(const std::vector<double>& sorted, double limit) {
+double fraction_below(const std::vector<double>& sorted, double limit) {
     const auto end = std::lower_bound(sorted.begin(), sorted.end(), limit);
     return static_cast<double>(end - sorted.begin()) /
            static_cast<double>(sorted.size());
@@ -189,37 +190,37 @@
 TEST_CASE("backend load - entries that tell of attempts do not herd") {
     // Near what the slots can answer: 12 x 16 in 1.25 s.
     constexpr double per_s = 150;
-    constexpr double objective_ms = 400;
-    load_play alone(false);
-    load_play telling(true);
-    const auto before = alone.run(per_s);
-    const auto after = telling.run(per_s);
-    const double served_before =
-        share_below(before, objective_ms) * static_cast<double>(before.size());
-    const double served_after =
-        share_below(after, objective_ms) * static_cast<double>(after.size());
-    CHECK(served_after > served_before);
-    CHECK(share_below(after, objective_ms) > 0.99);
+    constexpr double target_latency_ms = 400;
+    load_simulation without_notices(false);
+    load_simulation with_notices(true);
+    const auto before = without_notices.run(per_s);
+    const auto after = with_notices.run(per_s);
+    const double served_without = fraction_below(before, target_latency_ms) *
+                                  static_cast<double>(before.size());
+    const double served_with = fraction_below(after, target_latency_ms) *
+                               static_cast<double>(after.size());
+    CHECK(served_with > served_without);
+    CHECK(fraction_below(after, target_latency_ms) > 0.99);
 }
 
 TEST_CASE(
     "backend load - past the engines' rate refusing serves more in time") {
     // The slots answer some 150 a second.
     constexpr double per_s = 400;
-    constexpr double objective_ms = 400;
-    load_play refusing(true);
-    load_play queueing(true, std::chrono::hours(1));
+    constexpr double target_latency_ms = 400;
+    load_simulation refusing(true);
+    load_simulation queueing(true, std::chrono::hours(1));
     const auto with = refusing.run(per_s);
     const auto without = queueing.run(per_s);
     const auto in_time = [&](const std::vector<double>& waits) {
-        return share_below(waits, objective_ms) *
+        return fraction_below(waits, target_latency_ms) *
                static_cast<double>(waits.size());
     };
     CHECK(refusing.refused > 0);
     CHECK(queueing.refused == 0);
     CHECK(in_time(with) > 5 * in_time(without));
     // Most of what is taken must be worth taking.
-    CHECK(share_below(with, objective_ms) > 0.8);
+    CHECK(fraction_below(with, target_latency_ms) > 0.8);
 }
 
 TEST_CASE("backend load - an engine without whole weights gets nothing") {
@@ -227,11 +228,11 @@
     std::vector<backend_server> servers = make_servers(2);
     servers[0].layers = {{0, 8, 1}};
     backend_load load({}, 1);
-    for (int turn = 0; turn < 20; ++turn) {
+    for (int attempt = 0; attempt < 20; ++attempt) {
         const auto decision =
             load.place(make_request(service), pointers(servers), 1, start);
-        REQUIRE(std::holds_alternative<placed>(decision));
-        CHECK(std::get<placed>(decision).server == "i-1");
+        REQUIRE(std::holds_alternative<placement>(decision));
+        CHECK(std::get<placement>(decision).server == "i-1");
     }
     servers.pop_back();
     CHECK(std::holds_alternative<no_server>(
@@ -255,8 +256,8 @@
     request.min_version = 2;
     backend_load load({}, 1);
     const auto decision = load.place(request, pointers(servers), 1, start);
-    REQUIRE(std::holds_alternative<placed>(decision));
-    CHECK(std::get<placed>(decision).server == "i-1");
+    REQUIRE(std::holds_alternative<placement>(decision));
+    CHECK(std::get<placement>(decision).server == "i-1");
 }
 
 TEST_CASE("backend load - a refusal says when to return") {
@@ -266,8 +267,8 @@
     load.on_status("i-0", {16, 20, 1, false}, start);
     const auto decision =
         load.place(make_request(service), pointers(servers), 1, start);
-    REQUIRE(std::holds_alternative<no_room>(decision));
-    CHECK(std::get<no_room>(decision).retry_after > milliseconds(0));
+    REQUIRE(std::holds_alternative<no_capacity>(decision));
+    CHECK(std::get<no_capacity>(decision).retry_after > milliseconds(0));
 }
 
 TEST_CASE("backend load - a server that failed rests, unless it is the last") {
@@ -276,12 +277,12 @@
     backend_load load({}, 1);
     load.on_sent("i-0", microseconds(0), start);
     load.on_ended("i-0", attempt_result::failed, start);
-    for (int turn = 0; turn < 20; ++turn)
-        CHECK(std::get<placed>(load.place(make_request(service),
-                                          pointers(servers), 1, start))
+    for (int attempt = 0; attempt < 20; ++attempt)
+        CHECK(std::get<placement>(load.place(make_request(service),
+                                             pointers(servers), 1, start))
                   .server == "i-1");
     const std::vector<backend_server> last = make_servers(1);
-    CHECK(std::holds_alternative<placed>(
+    CHECK(std::holds_alternative<placement>(
         load.place(make_request(service), pointers(last), 1, start)));
 }
 
@@ -292,6 +293,6 @@
     placement_request request = make_request(service);
     request.tried = &tried;
     backend_load load({}, 1);
-    CHECK(std::get<placed>(load.place(request, pointers(servers), 1, start))
+    CHECK(std::get<placement>(load.place(request, pointers(servers), 1, start))
               .server == "i-1");
 }
--- a/tests/event_splitter.cpp
+++ b/tests/event_splitter.cpp
@@ -12,7 +12,7 @@
     CHECK(events[0].text == "id: 1\ndata: a\n\n");
     CHECK(events[0].id == 1U);
     CHECK(events[1].id == 2U);
-    CHECK(splitter.rest() == "id: 3\n");
+    CHECK(splitter.remainder() == "id: 3\n");
 }
 
 TEST_CASE("event splitter - carriage returns and events without id") {
--- a/tests/gateway.cpp
+++ b/tests/gateway.cpp
@@ -17,37 +17,42 @@
 
 namespace {
 
-constexpr seconds patience{8};
+constexpr seconds test_timeout{8};
 
 /// One entry's request path between a caller and scripted servers.
-class path_fixture {
+class gateway_fixture {
   public:
-    path_fixture()
+    gateway_fixture()
         : load({}, 1), client(core),
-          gate(core, client, routes, servers, load, figures,
-               platform::make_caller_protocol(),
-               {[] { return 1U; },
-                [](const std::string&) { return std::uint64_t{0}; },
-                [](const backend_server&, microseconds) {}},
-               {0.2, 100, seconds(10)}),
-          front(core,
-                {[this](exchange_id exchange, http_request request) {
-                     gate.on_request(exchange, std::move(request));
-                 },
-                 [this](exchange_id exchange) { gate.on_abandoned(exchange); },
-                 [this](exchange_id exchange) { gate.on_drained(exchange); }}) {
-        gate.attach(front);
-        gate.start();
+          tested_gateway(core, client, routes, servers, load, gateway_metrics,
+                         platform::make_caller_protocol(),
+                         {[] { return 1U; },
+                          [](const std::string&) { return std::uint64_t{0}; },
+                          [](const backend_server&, microseconds) {}},
+                         {0.2, 100, seconds(10)}),
+          front_server(core,
+                       {[this](exchange_id exchange, http_request request) {
+                            tested_gateway.on_request(exchange,
+                                                      std::move(request));
+                        },
+                        [this](exchange_id exchange) {
+                            tested_gateway.on_caller_disconnected(exchange);
+                        },
+                        [this](exchange_id exchange) {
+                            tested_gateway.on_drained(exchange);
+                        }}) {
+        tested_gateway.attach(front_server);
+        tested_gateway.start();
         // A free port: the one that a server has just given up.
         {
             const scripted_server probe(
                 [](const std::string&) { return scripted_answer{}; });
-            local = probe.endpoint();
+            front_address = probe.endpoint();
         }
         error failure;
         REQUIRE(value_or_error(
             [&]() -> leaf::result<bool> {
-                BOOST_LEAF_CHECK(front.listen(local));
+                BOOST_LEAF_CHECK(front_server.listen(front_address));
                 return true;
             },
             failure));
@@ -55,19 +60,19 @@
 
     void add_route(request_kind kind, bool is_resumable,
                    milliseconds timeout = milliseconds(3000)) {
-        route path;
-        path.host = "a.example";
-        path.path_prefix = "/x/";
-        path.kind = kind;
-        path.is_resumable = is_resumable;
-        path.timeout = timeout;
-        path.objective = milliseconds(200);
-        path.max_gap = milliseconds(200);
-        path.max_attempts = 2;
-        path.targets = {{"desk", 1}};
+        route added_route;
+        added_route.host = "a.example";
+        added_route.path_prefix = "/x/";
+        added_route.kind = kind;
+        added_route.is_resumable = is_resumable;
+        added_route.timeout = timeout;
+        added_route.target_latency = milliseconds(200);
+        added_route.target_gap = milliseconds(200);
+        added_route.max_attempts = 2;
+        added_route.targets = {{"desk", 1}};
         routing_configuration configuration;
         configuration.version = 1;
-        configuration.routes = {path};
+        configuration.routes = {added_route};
         configuration.services.emplace_back().name = "desk";
         const bool is_applied = routes.apply(std::move(configuration));
         REQUIRE(is_applied);
@@ -92,7 +97,7 @@
         http_response response;
     };
 
-    outcome ask(const std::string& method = "POST") {
+    outcome send_request(const std::string& method = "POST") {
         outcome result;
         http_request request;
         request.method = method;
@@ -102,7 +107,7 @@
                           {"X-Request-Deadline", "3000"},
                           {"Api-Key", "secret"},
                           {"X-Tenant", "forged"}};
-        client.fetch(local, request, {},
+        client.fetch(front_address, request, {},
                      [&](call_end end, http_response response) {
                          result = {true, end, std::move(response)};
                      });
@@ -110,43 +115,43 @@
             if (result.has_ended)
                 core.stop();
         });
-        core.after("test", patience, [this] { core.stop(); });
+        core.after("test", test_timeout, [this] { core.stop(); });
         core.run();
         REQUIRE(result.has_ended);
         return result;
     }
 
     kernel core;
-    metrics figures;
+    metrics gateway_metrics;
     route_table routes;
     backend_registry servers;
     backend_load load;
     web_client client;
-    gateway gate;
-    web_server front;
-    address local;
+    gateway tested_gateway;
+    web_server front_server;
+    address front_address;
 };
 
-std::string plain(int status, const std::string& fields,
-                  const std::string& body) {
+std::string make_response(int status, const std::string& fields,
+                          const std::string& body) {
     return fmt::format("HTTP/1.1 {} X\r\n{}Content-Length: {}\r\n\r\n{}",
                        status, fields, body.size(), body);
 }
 
-std::string events(int first, int last, bool is_whole) {
+std::string make_event_stream(int first, int last, bool is_complete) {
     std::string body;
     for (int id = first; id <= last; ++id) {
         const std::string event = fmt::format("id: {}\ndata: e{}\n\n", id, id);
         body += fmt::format("{:x}\r\n{}\r\n", event.size(), event);
     }
-    if (is_whole)
+    if (is_complete)
         body += "0\r\n\r\n";
     return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
            "X-Server-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n" +
            body;
 }
 
-std::string joined(int first, int last) {
+std::string event_text(int first, int last) {
     std::string body;
     for (int id = first; id <= last; ++id)
         body += fmt::format("id: {}\ndata: e{}\n\n", id, id);
@@ -156,17 +161,18 @@
 } // namespace
 
 TEST_CASE("gateway - hands back status, fields and body unchanged") {
-    path_fixture path;
+    gateway_fixture fixture;
     std::string seen;
     const scripted_server server([&](const std::string& request) {
         seen = request;
         return scripted_answer{
-            plain(201, "X-Server-Stamp: abc\r\nX-Request-Id: r1\r\n", "made"),
+            make_response(201, "X-Server-Stamp: abc\r\nX-Request-Id: r1\r\n",
+                          "made"),
             false};
     });
-    path.add_route(request_kind::unsafe, false);
-    path.add_servers({server.endpoint()});
-    const auto result = path.ask();
+    fixture.add_route(request_kind::non_idempotent, false);
+    fixture.add_servers({server.endpoint()});
+    const auto result = fixture.send_request();
     CHECK(result.response.status == 201);
     CHECK(result.response.body == "made");
     CHECK(*find_field(result.response.fields, "X-Server-Stamp") == "abc");
@@ -177,169 +183,173 @@
 }
 
 TEST_CASE("gateway - an unsafe request whose answer is lost is not repeated") {
-    path_fixture path;
+    gateway_fixture fixture;
     int runs = 0;
-    const auto lose = [&](const std::string&) {
+    const auto drop_answer = [&](const std::string&) {
         ++runs;
         return scripted_answer{"", true};
     };
-    const scripted_server first(lose);
-    const scripted_server second(lose);
-    path.add_route(request_kind::unsafe, false);
-    path.add_servers({first.endpoint(), second.endpoint()});
-    CHECK(path.ask().response.status == 502);
+    const scripted_server first(drop_answer);
+    const scripted_server second(drop_answer);
+    fixture.add_route(request_kind::non_idempotent, false);
+    fixture.add_servers({first.endpoint(), second.endpoint()});
+    CHECK(fixture.send_request().response.status == 502);
     CHECK(runs == 1);
 }
 
 TEST_CASE("gateway - an unsafe request that did not run goes elsewhere") {
-    path_fixture path;
+    gateway_fixture fixture;
     int refused = 0;
     const auto answer = [&](const std::string&) {
         if (refused++ == 0)
-            return scripted_answer{plain(503, "X-Not-Executed: 1\r\n", ""),
-                                   false};
-        return scripted_answer{plain(200, "", "done"), false};
+            return scripted_answer{
+                make_response(503, "X-Not-Executed: 1\r\n", ""), false};
+        return scripted_answer{make_response(200, "", "done"), false};
     };
     const scripted_server first(answer);
     const scripted_server second(answer);
-    path.add_route(request_kind::unsafe, false);
-    path.add_servers({first.endpoint(), second.endpoint()});
-    CHECK(path.ask().response.body == "done");
+    fixture.add_route(request_kind::non_idempotent, false);
+    fixture.add_servers({first.endpoint(), second.endpoint()});
+    CHECK(fixture.send_request().response.body == "done");
 }
 
 TEST_CASE("gateway - says not-run only if no server may have run it") {
-    path_fixture path;
+    gateway_fixture fixture;
     const scripted_server server([](const std::string&) {
-        return scripted_answer{plain(503, "X-Not-Executed: 1\r\n", ""), false};
+        return scripted_answer{make_response(503, "X-Not-Executed: 1\r\n", ""),
+                               false};
     });
-    path.add_route(request_kind::unsafe, false);
-    path.add_servers({server.endpoint()});
-    const auto result = path.ask();
+    fixture.add_route(request_kind::non_idempotent, false);
+    fixture.add_servers({server.endpoint()});
+    const auto result = fixture.send_request();
     CHECK(result.response.status == 503);
     CHECK(find_field(result.response.fields, "Retry-After") != nullptr);
 }
 
 TEST_CASE("gateway - a safe request is repeated after a lost answer") {
-    path_fixture path;
+    gateway_fixture fixture;
     int runs = 0;
     const auto answer = [&](const std::string&) {
-        return runs++ == 0 ? scripted_answer{"", true}
-                           : scripted_answer{plain(200, "", "fine"), false};
+        return runs++ == 0
+                   ? scripted_answer{"", true}
+                   : scripted_answer{make_response(200, "", "fine"), false};
     };
     const scripted_server first(answer);
     const scripted_server second(answer);
-    path.add_route(request_kind::safe, false);
-    path.add_servers({first.endpoint(), second.endpoint()});
-    CHECK(path.ask("GET").response.body == "fine");
+    fixture.add_route(request_kind::idempotent, false);
+    fixture.add_servers({first.endpoint(), second.endpoint()});
+    CHECK(fixture.send_request("GET").response.body == "fine");
     CHECK(runs == 2);
 }
 
 TEST_CASE("gateway - a cut stream resumes after its last whole event") {
-    path_fixture path;
+    gateway_fixture fixture;
     int runs = 0;
-    std::string resumed;
+    std::string resume_request;
     const auto answer = [&](const std::string& request) {
         if (runs++ == 0)
-            return scripted_answer{events(1, 3, false), true};
-        resumed = request;
-        return scripted_answer{events(4, 6, true), false};
+            return scripted_answer{make_event_stream(1, 3, false), true};
+        resume_request = request;
+        return scripted_answer{make_event_stream(4, 6, true), false};
     };
     const scripted_server first(answer);
     const scripted_server second(answer);
-    path.add_route(request_kind::streaming, true);
-    path.add_servers({first.endpoint(), second.endpoint()});
-    const auto result = path.ask();
+    fixture.add_route(request_kind::streaming, true);
+    fixture.add_servers({first.endpoint(), second.endpoint()});
+    const auto result = fixture.send_request();
     CHECK(result.end == call_end::complete);
-    CHECK(result.response.body == joined(1, 6));
-    CHECK(resumed.find("Last-Event-Id: 3\r\n") != std::string::npos);
+    CHECK(result.response.body == event_text(1, 6));
+    CHECK(resume_request.find("Last-Event-Id: 3\r\n") != std::string::npos);
 }
 
 TEST_CASE("gateway - events that a second server repeats are dropped") {
-    path_fixture path;
+    gateway_fixture fixture;
     int runs = 0;
     const auto answer = [&](const std::string&) {
-        return runs++ == 0 ? scripted_answer{events(1, 3, false), true}
-                           : scripted_answer{events(2, 5, true), false};
+        return runs++ == 0
+                   ? scripted_answer{make_event_stream(1, 3, false), true}
+                   : scripted_answer{make_event_stream(2, 5, true), false};
     };
     const scripted_server first(answer);
     const scripted_server second(answer);
-    path.add_route(request_kind::streaming, true);
-    path.add_servers({first.endpoint(), second.endpoint()});
-    CHECK(path.ask().response.body == joined(1, 5));
+    fixture.add_route(request_kind::streaming, true);
+    fixture.add_servers({first.endpoint(), second.endpoint()});
+    CHECK(fixture.send_request().response.body == event_text(1, 5));
 }
 
 TEST_CASE("gateway - a cut stream that may not resume never looks whole") {
-    path_fixture path;
+    gateway_fixture fixture;
     const scripted_server server([](const std::string&) {
-        return scripted_answer{events(1, 3, false), true};
+        return scripted_answer{make_event_stream(1, 3, false), true};
     });
-    path.add_route(request_kind::streaming, false);
-    path.add_servers({server.endpoint()});
-    const auto result = path.ask();
+    fixture.add_route(request_kind::streaming, false);
+    fixture.add_servers({server.endpoint()});
+    const auto result = fixture.send_request();
     CHECK(result.end == call_end::truncated);
 }
 
 TEST_CASE("gateway - an unanswered request ends at its route's timeout") {
-    path_fixture path;
+    gateway_fixture fixture;
     const scripted_server server(
         [](const std::string&) { return scripted_answer{}; });
-    path.add_route(request_kind::unsafe, false, milliseconds(300));
-    path.add_servers({server.endpoint()});
-    const instant asked = steady::now();
-    CHECK(path.ask().response.status == 504);
-    CHECK(steady::now() - asked < milliseconds(800));
+    fixture.add_route(request_kind::non_idempotent, false, milliseconds(300));
+    fixture.add_servers({server.endpoint()});
+    const instant started = steady::now();
+    CHECK(fixture.send_request().response.status == 504);
+    CHECK(steady::now() - started < milliseconds(800));
 }
 
 TEST_CASE("gateway - a silent stream moves to another server") {
-    path_fixture path;
+    gateway_fixture fixture;
     int runs = 0;
     const auto answer = [&](const std::string&) {
-        return runs++ == 0 ? scripted_answer{events(1, 2, false), false}
-                           : scripted_answer{events(3, 4, true), false};
+        return runs++ == 0
+                   ? scripted_answer{make_event_stream(1, 2, false), false}
+                   : scripted_answer{make_event_stream(3, 4, true), false};
     };
     const scripted_server first(answer);
     const scripted_server second(answer);
-    path.add_route(request_kind::streaming, true);
-    path.add_servers({first.endpoint(), second.endpoint()});
-    CHECK(path.ask().response.body == joined(1, 4));
+    fixture.add_route(request_kind::streaming, true);
+    fixture.add_servers({first.endpoint(), second.endpoint()});
+    CHECK(fixture.send_request().response.body == event_text(1, 4));
 }
 
 TEST_CASE("gateway - without a configuration a request is refused") {
-    path_fixture path;
-    const auto result = path.ask();
+    gateway_fixture fixture;
+    const auto result = fixture.send_request();
     CHECK(result.response.status == 503);
     CHECK(find_field(result.response.fields, "Retry-After") != nullptr);
 }
 
 TEST_CASE("gateway - a refusal in place of the rest of a stream cuts it") {
-    path_fixture path;
+    gateway_fixture fixture;
     int runs = 0;
     const auto answer = [&](const std::string&) {
         if (runs++ == 0)
-            return scripted_answer{events(1, 3, false), true};
-        return scripted_answer{plain(503, "X-Not-Executed: 1\r\n", "full"),
-                               false};
+            return scripted_answer{make_event_stream(1, 3, false), true};
+        return scripted_answer{
+            make_response(503, "X-Not-Executed: 1\r\n", "full"), false};
     };
     const scripted_server first(answer);
     const scripted_server second(answer);
-    path.add_route(request_kind::streaming, true);
-    path.add_servers({first.endpoint(), second.endpoint()});
-    const auto result = path.ask();
+    fixture.add_route(request_kind::streaming, true);
+    fixture.add_servers({first.endpoint(), second.endpoint()});
+    const auto result = fixture.send_request();
     CHECK(result.end == call_end::truncated);
-    CHECK(result.response.body == joined(1, 3));
+    CHECK(result.response.body == event_text(1, 3));
 }
 
 TEST_CASE("gateway - a stopping entry refuses new requests") {
-    path_fixture path;
+    gateway_fixture fixture;
     int runs = 0;
     const scripted_server server([&](const std::string&) {
         ++runs;
-        return scripted_answer{plain(200, "", "done"), false};
+        return scripted_answer{make_response(200, "", "done"), false};
     });
-    path.add_route(request_kind::unsafe, false);
-    path.add_servers({server.endpoint()});
-    path.gate.close();
-    const auto result = path.ask();
+    fixture.add_route(request_kind::non_idempotent, false);
+    fixture.add_servers({server.endpoint()});
+    fixture.tested_gateway.close();
+    const auto result = fixture.send_request();
     CHECK(result.response.status == 503);
     CHECK(find_field(result.response.fields, "Retry-After") != nullptr);
     CHECK(runs == 0);
--- a/tests/platform_wire.cpp
+++ b/tests/platform_wire.cpp
@@ -136,11 +136,11 @@
     const route& stream = configuration->routes.at(0);
     CHECK(stream.kind == request_kind::streaming);
     CHECK(stream.is_resumable);
-    CHECK(stream.objective == milliseconds(400));
-    CHECK(stream.max_gap == milliseconds(300));
+    CHECK(stream.target_latency == milliseconds(400));
+    CHECK(stream.target_gap == milliseconds(300));
     CHECK(stream.targets.size() == 2);
     // A kind that is not known here is treated as the strictest.
-    CHECK(configuration->routes.at(1).kind == request_kind::unsafe);
+    CHECK(configuration->routes.at(1).kind == request_kind::non_idempotent);
     CHECK(configuration->routes.at(1).is_public);
     const service_description& engine = configuration->services.at(0);
     REQUIRE(engine.engine);
--- a/tests/route_table.cpp
+++ b/tests/route_table.cpp
@@ -25,7 +25,8 @@
 
 std::string service_of(const routing_decision& decision) {
     const auto* routed = std::get_if<routed_request>(&decision);
-    return routed == nullptr ? "" : routed->path->targets.front().service;
+    return routed == nullptr ? ""
+                             : routed->matched_route->targets.front().service;
 }
 
 } // namespace
@@ -79,10 +80,10 @@
 }
 
 TEST_CASE("route table - weights share the requests of a route") {
-    route path = make_route("/x/", "a");
-    path.targets = {{"a", 90}, {"b", 10}, {"c", 0}};
-    CHECK(route_table::choose_service(path, 0.0) == "a");
-    CHECK(route_table::choose_service(path, 0.89) == "a");
-    CHECK(route_table::choose_service(path, 0.91) == "b");
-    CHECK(route_table::choose_service(path, 0.9999) == "b");
+    route weighted_route = make_route("/x/", "a");
+    weighted_route.targets = {{"a", 90}, {"b", 10}, {"c", 0}};
+    CHECK(route_table::choose_service(weighted_route, 0.0) == "a");
+    CHECK(route_table::choose_service(weighted_route, 0.89) == "a");
+    CHECK(route_table::choose_service(weighted_route, 0.91) == "b");
+    CHECK(route_table::choose_service(weighted_route, 0.9999) == "b");
 }
