--- a/include/ospreystage/rollout/acceptance.hpp
+++ b/include/ospreystage/rollout/acceptance.hpp
@@ -147,14 +147,15 @@
     [[nodiscard]] acceptance_step start_write();
     [[nodiscard]] acceptance_step write_current();
     [[nodiscard]] acceptance_step read_chain(revision number);
-    [[nodiscard]] acceptance_step check(const error& failure);
-    [[nodiscard]] acceptance_step judge(const std::optional<kv_entry>& entry);
+    [[nodiscard]] acceptance_step check_after_failure(const error& failure);
+    [[nodiscard]] acceptance_step
+    decide_outcome(const std::optional<kv_entry>& entry);
     [[nodiscard]] acceptance_step reject_outdated();
     [[nodiscard]] acceptance_step reject(rejection reason, std::string detail);
-    [[nodiscard]] acceptance_step unknown(std::string detail);
+    [[nodiscard]] acceptance_step outcome_unknown(std::string detail);
 
     acceptance_request request_;
-    bool reads_only_ = false;
+    bool read_only_ = false;
     state state_;
     std::optional<kv_entry> current_entry_;
     rollout_document current_;            ///< Last one read; revision 0: none.
--- a/include/ospreystage/rollout/config_register.hpp
+++ b/include/ospreystage/rollout/config_register.hpp
@@ -26,14 +26,14 @@
 };
 
 /// Ask a peer for its document.
-struct ask_document {
+struct request_document {
     std::string peer;
     sync_request request;
 };
 
 /// Ask a witness, by a datagram, what it holds now; report the question with
 /// `on_witness_asked`.
-struct ask_witness {
+struct query_witness {
     std::string witness;
 };
 
@@ -48,8 +48,9 @@
 };
 
 /// What the register asks of its shell.
-using register_action = std::variant<push_document, ask_document, ask_witness,
-                                     put_in_force, document_refused>;
+using register_action =
+    std::variant<push_document, request_document, query_witness, put_in_force,
+                 document_refused>;
 
 /// Decides which accepted document is in force on this process.
 ///
@@ -114,14 +115,14 @@
     [[nodiscard]] actions receive(const sync_reply& reply, instant now);
 
     /// A peer's datagram told what it holds.
-    [[nodiscard]] actions on_revision_report(const revision_report& told,
+    [[nodiscard]] actions on_revision_report(const revision_report& report,
                                              instant now);
 
     /// Another process has revision `number` in force.
     [[nodiscard]] actions on_in_force_elsewhere(revision number);
 
     /// The witness was asked in a datagram of this sequence.
-    void on_witness_asked(const std::string& witness, std::uint64_t sequence);
+    void on_witness_queried(const std::string& witness, std::uint64_t sequence);
 
     /// Answers a peer's `sync_request`; the members are left to the shell.
     [[nodiscard]] sync_reply answer(const sync_request& request) const;
@@ -142,23 +143,24 @@
         std::map<std::string, confirmation> witnesses;
     };
 
-    void offer(const std::string& json, const std::string& from, actions& out);
+    void adopt_if_newer(const std::string& json, const std::string& from,
+                        actions& out);
     void merge(const std::vector<held_revision>& held);
-    void merge(const held_revision& heard);
-    void ask_witnesses(instant now, actions& out);
-    void ask_behind(const std::string& teller, instant now, actions& out);
-    void ask_routinely(instant now, actions& out);
-    void ask(const std::string& peer, actions& out) const;
-    [[nodiscard]] std::vector<std::string> sources() const;
+    void merge(const held_revision& received);
+    void sync_with_witnesses(instant now, actions& out);
+    void catch_up(const std::string& reporter, instant now, actions& out);
+    void sync_periodically(instant now, actions& out);
+    void send_sync_request(const std::string& peer, actions& out) const;
+    [[nodiscard]] std::vector<std::string> sync_targets() const;
     void fan_out(const std::string& from, actions& out);
     void push_to(const std::string& peer, actions& out);
     void recover();
-    void hold();
+    void record_own_revision();
     [[nodiscard]] bool may_put_in_force() const;
-    void begin_round(actions& out);
-    void confirm(const revision_report& told);
-    [[nodiscard]] bool is_proven() const;
-    void settle(actions& out);
+    void begin_confirmation(actions& out);
+    void confirm(const revision_report& report);
+    [[nodiscard]] bool is_confirmed() const;
+    void update_in_force(actions& out);
     [[nodiscard]] bool is_witness(const std::string& name) const;
     [[nodiscard]] std::size_t majority() const noexcept;
 
@@ -170,17 +172,18 @@
     std::shared_ptr<const rollout_document> highest_;
     std::string highest_json_;
     std::shared_ptr<const rollout_document> in_force_;
-    revision heard_of_ = 0;           ///< Highest revision any peer named.
-    revision floor_ = 0;              ///< Least revision to put in force.
+    revision highest_reported_ = 0;   ///< Highest revision any peer named.
+    revision min_revision_ = 0;       ///< Least revision to put in force.
     revision in_force_elsewhere_ = 0; ///< Highest that any peer has in force.
     std::optional<confirmation_round> round_;
     bool recovered_ = false;
-    std::set<std::string> answered_; ///< Recovered witnesses that replied.
+    std::set<std::string>
+        recovered_witnesses_; ///< Recovered witnesses that replied.
     std::map<std::string, held_revision> held_;
-    std::optional<instant> asked_witnesses_;
-    std::optional<instant> asked_behind_;
-    std::optional<instant> asked_routinely_;
-    milliseconds routine_interval_;
+    std::optional<instant> last_witness_sync_;
+    std::optional<instant> last_catch_up_;
+    std::optional<instant> last_periodic_sync_;
+    milliseconds sync_interval_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/rollout/configuration.hpp
+++ b/include/ospreystage/rollout/configuration.hpp
@@ -76,8 +76,8 @@
     void on_platform_failure(const error& failure);
     void apply(const config_register::actions& actions);
     void apply(const push_document& action);
-    void apply(const ask_document& action);
-    void apply(const ask_witness& action);
+    void apply(const request_document& action);
+    void apply(const query_witness& action);
     void apply(const put_in_force& action);
     void apply(const document_refused& action);
 
@@ -96,8 +96,8 @@
     std::string platform_problem_; ///< Last failure, empty after a success.
     // Their threads post to this service, so they end before the rest of it.
     std::unique_ptr<kv_watch> watch_;
-    job_thread reads_;
-    job_thread acceptances_;
+    job_thread read_thread_;
+    job_thread acceptance_thread_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/rollout/revision_report.hpp
+++ b/include/ospreystage/rollout/revision_report.hpp
@@ -13,7 +13,7 @@
     revision document = 0; ///< Highest revision that the peer has.
     std::vector<held_revision> held;
     /// Sequence of this process's ping that it answers; 0 for a ping.
-    std::uint64_t answers = 0;
+    std::uint64_t acked_sequence = 0;
 };
 
 } // namespace ospreystage
--- a/src/rollout/acceptance.cpp
+++ b/src/rollout/acceptance.cpp
@@ -15,14 +15,14 @@
 constexpr milliseconds retry_delay{200};
 
 /// Documents read at most to name who made the clashing changes.
-constexpr revision max_chain = 32;
+constexpr revision max_chain_length = 32;
 
 std::optional<rollout_document> parse(const std::string& json) {
     error ignored;
     return value_or_error([&] { return parse_rollout(json); }, ignored);
 }
 
-const std::optional<kv_entry>* reading_of(const kv_reply& reply) {
+const std::optional<kv_entry>* entry_in(const kv_reply& reply) {
     const auto* reading = std::get_if<kv_reading>(&reply);
     return reading == nullptr ? nullptr : &reading->entry;
 }
@@ -69,7 +69,7 @@
     request.operation_id = std::move(operation_id);
     request.based_on = based_on;
     acceptance operation(std::move(request));
-    operation.reads_only_ = true;
+    operation.read_only_ = true;
     operation.may_have_written_ = true;
     return operation;
 }
@@ -77,7 +77,7 @@
 acceptance_step acceptance::begin() {
     if (request_.operation_id.empty())
         return reject(rejection::invalid, "the operation id is empty");
-    if (reads_only_) {
+    if (read_only_) {
         state_ = checking_current{};
         return kv_read_call{current_rollout_key};
     }
@@ -100,7 +100,7 @@
 }
 
 acceptance_step acceptance::on(const reading_current&, const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr)
         return reject(rejection::unavailable, to_string(error_of(reply)));
     current_entry_ = *entry;
@@ -150,9 +150,10 @@
 
 /// Reads the next document of the chain, or ends it with the current one.
 acceptance_step acceptance::read_chain(revision number) {
-    const bool is_long = current_.number - request_.based_on > max_chain &&
-                         number > request_.based_on + 1;
-    if (number >= current_.number || is_long) {
+    const bool exceeds_max_length =
+        current_.number - request_.based_on > max_chain_length &&
+        number > request_.based_on + 1;
+    if (number >= current_.number || exceeds_max_length) {
         chain_.push_back(current_);
         return reject_outdated();
     }
@@ -162,16 +163,17 @@
 
 acceptance_step acceptance::on(const reading_history& at,
                                const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr) {
         if (++failures_ >= max_failures)
-            return unknown(to_string(error_of(reply)));
+            return outcome_unknown(to_string(error_of(reply)));
         return kv_read_call{history_key(at.number)};
     }
     const auto document =
         *entry ? parse((*entry)->value) : std::optional<rollout_document>();
     if (!document && at.number <= request_.based_on + 1)
-        return unknown("no readable document " + history_key(at.number));
+        return outcome_unknown("no readable document " +
+                               history_key(at.number));
     if (document && document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, (*entry)->value});
     if (document)
@@ -196,36 +198,37 @@
         return acceptance_result(
             accepted{request_.based_on + 1, written_json_});
     if (const auto* conflict = std::get_if<kv_conflict>(&reply))
-        return judge(conflict->current);
+        return decide_outcome(conflict->current);
     const error failure = error_of(reply);
     if (failure.code == error_code::unknown_effect)
         may_have_written_ = true;
-    return check(failure);
+    return check_after_failure(failure);
 }
 
-acceptance_step acceptance::check(const error& failure) {
+acceptance_step acceptance::check_after_failure(const error& failure) {
     if (!may_have_written_)
         return reject(rejection::unavailable, to_string(failure));
     if (++failures_ >= max_failures)
-        return unknown(to_string(failure));
+        return outcome_unknown(to_string(failure));
     state_ = checking_current{};
     return kv_read_call{current_rollout_key};
 }
 
 acceptance_step acceptance::on(const checking_current&, const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr)
-        return check(error_of(reply));
-    return judge(*entry);
+        return check_after_failure(error_of(reply));
+    return decide_outcome(*entry);
 }
 
 /// Decides from what the key holds after a write that failed or was lost.
-acceptance_step acceptance::judge(const std::optional<kv_entry>& entry) {
+acceptance_step
+acceptance::decide_outcome(const std::optional<kv_entry>& entry) {
     const auto document =
         entry ? parse(entry->value) : std::optional(rollout_document());
     if (!document)
         return may_have_written_
-                   ? unknown("the stored document cannot be read")
+                   ? outcome_unknown("the stored document cannot be read")
                    : reject(rejection::damaged, current_rollout_key);
     if (document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, entry->value});
@@ -239,24 +242,24 @@
         chain_.push_back(current_);
         return reject_outdated();
     }
-    const bool is_unchanged = entry == current_entry_ && !reads_only_;
+    const bool is_unchanged = entry == current_entry_ && !read_only_;
     if (is_unchanged && ++failures_ < max_failures)
         return write_current();
-    return unknown("the write has not taken effect yet");
+    return outcome_unknown("the write has not taken effect yet");
 }
 
 acceptance_step acceptance::on(const checking_history&, const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr) {
         if (++failures_ >= max_failures)
-            return unknown(to_string(error_of(reply)));
+            return outcome_unknown(to_string(error_of(reply)));
         return kv_read_call{history_key(request_.based_on + 1)};
     }
     const auto document =
         *entry ? parse((*entry)->value) : std::optional<rollout_document>();
     if (!document)
-        return unknown("no readable document " +
-                       history_key(request_.based_on + 1));
+        return outcome_unknown("no readable document " +
+                               history_key(request_.based_on + 1));
     if (document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, (*entry)->value});
     chain_.push_back(*document);
@@ -270,7 +273,7 @@
     outcome.detail = "revision " + std::to_string(current_.number) + " of " +
                      current_.accepted_by + " is accepted";
     outcome.current = current_.number;
-    if (!reads_only_)
+    if (!read_only_)
         outcome.clashes = find_clashes(chain_, request_.draft);
     return acceptance_result(std::move(outcome));
 }
@@ -280,7 +283,7 @@
         rejected{reason, std::move(detail), current_.number, {}, {}});
 }
 
-acceptance_step acceptance::unknown(std::string detail) {
+acceptance_step acceptance::outcome_unknown(std::string detail) {
     return acceptance_result(
         not_yet_known{request_.operation_id, std::move(detail)});
 }
--- a/src/rollout/config_register.cpp
+++ b/src/rollout/config_register.cpp
@@ -13,15 +13,15 @@
 constexpr std::size_t max_neighbours = 4;
 
 /// Time after which an unanswered `sync_request` is repeated.
-constexpr milliseconds sync_retry{1000};
+constexpr milliseconds sync_retry_interval{1000};
 
 /// Time between routine exchanges; doubles from the first to the second.
-constexpr milliseconds first_routine_interval{1000};
-constexpr milliseconds last_routine_interval{32'000};
+constexpr milliseconds min_sync_interval{1000};
+constexpr milliseconds max_sync_interval{32'000};
 
-bool is_due(const std::optional<instant>& asked, instant now,
+bool is_due(const std::optional<instant>& last_sent, instant now,
             milliseconds interval) {
-    return !asked || now - *asked >= interval;
+    return !last_sent || now - *last_sent >= interval;
 }
 
 } // namespace
@@ -31,7 +31,7 @@
                                  std::uint64_t seed)
     : self_(std::move(self)), role_(role),
       witnesses_(witnesses.begin(), witnesses.end()), random_(seed),
-      routine_interval_(first_routine_interval) {
+      sync_interval_(min_sync_interval) {
     // Revision 0 tells only that this incarnation exists.
     if (is_witness(self_.name))
         held_[self_.name] = {self_, 0};
@@ -64,8 +64,8 @@
     nlohmann::json state;
     state["in_force"] = in_force_ ? in_force_->number : 0;
     state["document"] = document();
-    state["heard_of"] = heard_of_;
-    state["floor"] = floor_;
+    state["heard_of"] = highest_reported_;
+    state["floor"] = min_revision_;
     state["recovered"] = recovered_;
     state["held"] = nlohmann::json::object();
     for (const auto& [name, item] : held_)
@@ -84,20 +84,20 @@
     actions out;
     if (!json.empty()) {
         const revision before = document();
-        offer(json, "", out);
+        adopt_if_newer(json, "", out);
         // A value that cannot be read proves nothing about its revision.
         if (document() == before && !out.empty())
             return out;
     }
     recover();
-    settle(out);
+    update_in_force(out);
     return out;
 }
 
 config_register::actions config_register::on_accepted(const std::string& json) {
     actions out;
-    offer(json, "", out);
-    settle(out);
+    adopt_if_newer(json, "", out);
+    update_in_force(out);
     return out;
 }
 
@@ -105,12 +105,12 @@
                                                   instant now) {
     actions out;
     merge(push.held);
-    heard_of_ = std::max(heard_of_, push.document);
+    highest_reported_ = std::max(highest_reported_, push.document);
     if (push.document > document())
-        offer(push.json, push.sender.name, out);
-    if (heard_of_ > document())
-        ask_behind(push.sender.name, now, out);
-    settle(out);
+        adopt_if_newer(push.json, push.sender.name, out);
+    if (highest_reported_ > document())
+        catch_up(push.sender.name, now, out);
+    update_in_force(out);
     return out;
 }
 
@@ -118,28 +118,29 @@
                                                   instant) {
     actions out;
     merge(reply.held);
-    heard_of_ = std::max(heard_of_, reply.document);
-    asked_behind_.reset();
+    highest_reported_ = std::max(highest_reported_, reply.document);
+    last_catch_up_.reset();
     if (reply.document > document() && !reply.json.empty())
-        offer(reply.json, reply.sender.name, out);
+        adopt_if_newer(reply.json, reply.sender.name, out);
     if (reply.recovered && is_witness(reply.sender.name) &&
         reply.sender.name != self_.name)
-        answered_.insert(reply.sender.name);
-    if (!witnesses_.empty() && answered_.size() >= majority())
+        recovered_witnesses_.insert(reply.sender.name);
+    if (!witnesses_.empty() && recovered_witnesses_.size() >= majority())
         recover();
-    settle(out);
+    update_in_force(out);
     return out;
 }
 
 config_register::actions
-config_register::on_revision_report(const revision_report& told, instant now) {
+config_register::on_revision_report(const revision_report& report,
+                                    instant now) {
     actions out;
-    merge(told.held);
-    confirm(told);
-    heard_of_ = std::max(heard_of_, told.document);
-    if (told.document > document())
-        ask_behind(told.peer.name, now, out);
-    settle(out);
+    merge(report.held);
+    confirm(report);
+    highest_reported_ = std::max(highest_reported_, report.document);
+    if (report.document > document())
+        catch_up(report.peer.name, now, out);
+    update_in_force(out);
     return out;
 }
 
@@ -147,12 +148,12 @@
 config_register::on_in_force_elsewhere(revision number) {
     actions out;
     in_force_elsewhere_ = std::max(in_force_elsewhere_, number);
-    settle(out);
+    update_in_force(out);
     return out;
 }
 
-void config_register::on_witness_asked(const std::string& witness,
-                                       std::uint64_t sequence) {
+void config_register::on_witness_queried(const std::string& witness,
+                                         std::uint64_t sequence) {
     if (!round_)
         return;
     const auto found = round_->witnesses.find(witness);
@@ -174,18 +175,18 @@
 config_register::actions config_register::tick(instant now) {
     actions out;
     if (!recovered_)
-        ask_witnesses(now, out);
-    if (heard_of_ > document())
-        ask_behind("", now, out);
-    ask_routinely(now, out);
+        sync_with_witnesses(now, out);
+    if (highest_reported_ > document())
+        catch_up("", now, out);
+    sync_periodically(now, out);
     // Questions or answers of the last round may be lost.
     round_.reset();
-    settle(out);
+    update_in_force(out);
     return out;
 }
 
-void config_register::offer(const std::string& json, const std::string& from,
-                            actions& out) {
+void config_register::adopt_if_newer(const std::string& json,
+                                     const std::string& from, actions& out) {
     error failure;
     auto parsed = value_or_error([&] { return parse_rollout(json); }, failure);
     if (!parsed) {
@@ -193,12 +194,12 @@
         out.emplace_back(document_refused{failure});
         return;
     }
-    heard_of_ = std::max(heard_of_, parsed->number);
+    highest_reported_ = std::max(highest_reported_, parsed->number);
     if (parsed->number <= document())
         return;
     highest_ = std::make_shared<const rollout_document>(std::move(*parsed));
     highest_json_ = json;
-    hold();
+    record_own_revision();
     fan_out(from, out);
 }
 
@@ -207,55 +208,57 @@
         merge(item);
 }
 
-void config_register::merge(const held_revision& heard) {
-    if (!is_witness(heard.witness.name) || heard.witness.name == self_.name)
+void config_register::merge(const held_revision& received) {
+    if (!is_witness(received.witness.name) ||
+        received.witness.name == self_.name)
         return;
-    held_revision& known = held_[heard.witness.name];
-    if (heard.witness.incarnation > known.witness.incarnation)
-        known = heard;
-    else if (heard.witness.incarnation == known.witness.incarnation)
-        known.number = std::max(known.number, heard.number);
-    known.witness.name = heard.witness.name;
+    held_revision& known = held_[received.witness.name];
+    if (received.witness.incarnation > known.witness.incarnation)
+        known = received;
+    else if (received.witness.incarnation == known.witness.incarnation)
+        known.number = std::max(known.number, received.number);
+    known.witness.name = received.witness.name;
 }
 
-void config_register::ask_witnesses(instant now, actions& out) {
-    if (!is_due(asked_witnesses_, now, sync_retry))
+void config_register::sync_with_witnesses(instant now, actions& out) {
+    if (!is_due(last_witness_sync_, now, sync_retry_interval))
         return;
-    asked_witnesses_ = now;
+    last_witness_sync_ = now;
     for (const std::string& witness : witnesses_) {
         if (witness != self_.name)
-            ask(witness, out);
+            send_sync_request(witness, out);
     }
 }
 
 /// Asks who told of a newer document if it is a neighbour or a witness, else
 /// one of those: connections to every peer would be too many.
-void config_register::ask_behind(const std::string& teller, instant now,
-                                 actions& out) {
-    const std::vector<std::string> known = sources();
-    if (known.empty() || !is_due(asked_behind_, now, sync_retry))
+void config_register::catch_up(const std::string& reporter, instant now,
+                               actions& out) {
+    const std::vector<std::string> known = sync_targets();
+    if (known.empty() || !is_due(last_catch_up_, now, sync_retry_interval))
         return;
-    asked_behind_ = now;
-    const auto found = std::find(known.begin(), known.end(), teller);
-    ask(found == known.end() ? known[random_() % known.size()] : teller, out);
+    last_catch_up_ = now;
+    const auto found = std::find(known.begin(), known.end(), reporter);
+    send_sync_request(
+        found == known.end() ? known[random_() % known.size()] : reporter, out);
 }
 
-void config_register::ask_routinely(instant now, actions& out) {
+void config_register::sync_periodically(instant now, actions& out) {
     if (neighbours_.empty() ||
-        !is_due(asked_routinely_, now, routine_interval_))
+        !is_due(last_periodic_sync_, now, sync_interval_))
         return;
-    if (asked_routinely_)
-        routine_interval_ =
-            std::min(2 * routine_interval_, last_routine_interval);
-    asked_routinely_ = now;
-    ask(neighbours_[random_() % neighbours_.size()], out);
+    if (last_periodic_sync_)
+        sync_interval_ = std::min(2 * sync_interval_, max_sync_interval);
+    last_periodic_sync_ = now;
+    send_sync_request(neighbours_[random_() % neighbours_.size()], out);
 }
 
-void config_register::ask(const std::string& peer, actions& out) const {
-    out.emplace_back(ask_document{peer, {self_, document()}});
+void config_register::send_sync_request(const std::string& peer,
+                                        actions& out) const {
+    out.emplace_back(request_document{peer, {self_, document()}});
 }
 
-std::vector<std::string> config_register::sources() const {
+std::vector<std::string> config_register::sync_targets() const {
     std::set<std::string> names(neighbours_.begin(), neighbours_.end());
     names.insert(witnesses_.begin(), witnesses_.end());
     names.erase(self_.name);
@@ -292,26 +295,26 @@
     if (recovered_)
         return;
     recovered_ = true;
-    floor_ = heard_of_;
+    min_revision_ = highest_reported_;
 }
 
-void config_register::hold() {
-    if (recovered_ && document() >= floor_ && is_witness(self_.name))
+void config_register::record_own_revision() {
+    if (recovered_ && document() >= min_revision_ && is_witness(self_.name))
         held_[self_.name].number = document();
 }
 
 bool config_register::may_put_in_force() const {
     const revision current = in_force_ ? in_force_->number : 0;
-    return recovered_ && document() >= floor_ && document() > current;
+    return recovered_ && document() >= min_revision_ && document() > current;
 }
 
-void config_register::settle(actions& out) {
-    hold();
+void config_register::update_in_force(actions& out) {
+    record_own_revision();
     if (!may_put_in_force())
         return;
     if (!round_ || round_->number != document())
-        begin_round(out);
-    if (!is_proven())
+        begin_confirmation(out);
+    if (!is_confirmed())
         return;
     round_.reset();
     in_force_ = highest_;
@@ -320,7 +323,7 @@
 
 /// Begins the second round if the first one is complete: every question is
 /// asked after the last report was heard.
-void config_register::begin_round(actions& out) {
+void config_register::begin_confirmation(actions& out) {
     round_.reset();
     if (in_force_elsewhere_ >= document())
         return;
@@ -335,27 +338,27 @@
         return;
     for (const auto& [name, item] : next.witnesses) {
         if (!item.confirmed)
-            out.emplace_back(ask_witness{name});
+            out.emplace_back(query_witness{name});
     }
     round_ = std::move(next);
 }
 
-void config_register::confirm(const revision_report& told) {
-    if (!round_ || told.answers == 0)
+void config_register::confirm(const revision_report& report) {
+    if (!round_ || report.acked_sequence == 0)
         return;
-    const auto found = round_->witnesses.find(told.peer.name);
+    const auto found = round_->witnesses.find(report.peer.name);
     if (found == round_->witnesses.end() ||
-        found->second.sequence != told.answers ||
-        found->second.incarnation != told.peer.incarnation)
+        found->second.sequence != report.acked_sequence ||
+        found->second.incarnation != report.peer.incarnation)
         return;
-    for (const held_revision& item : told.held) {
+    for (const held_revision& item : report.held) {
         // A witness that is not recovered reports revision 0 for itself.
-        if (item.witness == told.peer && item.number >= round_->number)
+        if (item.witness == report.peer && item.number >= round_->number)
             found->second.confirmed = true;
     }
 }
 
-bool config_register::is_proven() const {
+bool config_register::is_confirmed() const {
     if (in_force_elsewhere_ >= document())
         return true;
     if (!round_ || round_->number != document())
--- a/src/rollout/configuration.cpp
+++ b/src/rollout/configuration.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds read_interval{1000};
 
 /// A watch connection on which nothing arrives for this time is replaced.
-constexpr milliseconds watch_silence_limit{5000};
+constexpr milliseconds watch_idle_timeout{5000};
 
 std::vector<std::string> witness_names(const settings& values) {
     std::vector<std::string> names;
@@ -64,8 +64,8 @@
             known.sender = peer.process;
             apply(register_.receive(known, steady::now()));
         });
-    members_.on_revisions([this](const revision_report& told) {
-        apply(register_.on_revision_report(told, steady::now()));
+    members_.on_revisions([this](const revision_report& report) {
+        apply(register_.on_revision_report(report, steady::now()));
     });
     members_.on_change([this](const member& value) {
         if (value.id.name != members_.self().id.name)
@@ -106,7 +106,7 @@
 }
 
 void configuration::start(acceptance operation, result_handler done) {
-    acceptances_.run(
+    acceptance_thread_.run(
         [this, operation = std::move(operation), done = std::move(done)] {
             const acceptance_result result = run(operation, client_);
             core_.post(service_name, [this, result, done] {
@@ -148,11 +148,12 @@
         return;
     if (watch_) {
         // Its thread may be in a call: it ends on the thread for reads.
-        reads_.run([watch = std::shared_ptr<kv_watch>(std::move(watch_))] {});
+        read_thread_.run(
+            [watch = std::shared_ptr<kv_watch>(std::move(watch_))] {});
         return;
     }
     watch_ = std::make_unique<kv_watch>(
-        client_, current_rollout_key, watch_silence_limit,
+        client_, current_rollout_key, watch_idle_timeout,
         [this](const kv_reading& reading) {
             core_.post(service_name, [this, reading] { on_platform(reading); });
         },
@@ -167,7 +168,7 @@
         return;
     reading_ = true;
     read_started_ = now;
-    reads_.run([this] {
+    read_thread_.run([this] {
         error failure;
         const auto reading = value_or_error(
             [&] { return client_.read(current_rollout_key); }, failure);
@@ -187,7 +188,7 @@
         return;
     polling_ = true;
     poll_started_ = now;
-    reads_.run([this] {
+    read_thread_.run([this] {
         error failure;
         const auto list = value_or_error(
             [&] {
@@ -233,12 +234,13 @@
     connections_.send(action.peer, action.push);
 }
 
-void configuration::apply(const ask_document& action) {
+void configuration::apply(const request_document& action) {
     connections_.send(action.peer, action.request);
 }
 
-void configuration::apply(const ask_witness& action) {
-    register_.on_witness_asked(action.witness, members_.query(action.witness));
+void configuration::apply(const query_witness& action) {
+    register_.on_witness_queried(action.witness,
+                                 members_.query(action.witness));
 }
 
 void configuration::apply(const put_in_force& action) {
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -25,10 +25,10 @@
     return found == items.end() ? nullptr : &*found;
 }
 
-/// First fault of a document; later ones are dropped.
-class fault_record {
+/// First problem of a document; later ones are dropped.
+class problem_recorder {
   public:
-    void note(const std::string& field, const std::string& message) {
+    void record(const std::string& field, const std::string& message) {
         if (!first_)
             first_ = rollout_problem{field, message};
     }
@@ -44,20 +44,20 @@
 class object_reader {
   public:
     object_reader(const json_value& object, std::string pointer,
-                  fault_record& faults)
-        : object_(object), pointer_(std::move(pointer)), faults_(faults) {
+                  problem_recorder& problems)
+        : object_(object), pointer_(std::move(pointer)), problems_(problems) {
         if (!object_.is_object())
-            faults_.note(pointer_, "is not an object");
+            problems_.record(pointer_, "is not an object");
     }
 
     void read(const char* name, std::string& out) {
-        const json_value* value = take(name);
+        const json_value* value = find_field(name);
         if (value == nullptr)
             return;
         if (value->is_string())
             out = value->get<std::string>();
         else
-            faults_.note(path(name), "is not a string");
+            problems_.record(path(name), "is not a string");
     }
 
     void read(const char* name, std::uint64_t& out) {
@@ -81,7 +81,7 @@
             if (item.is_string())
                 out.push_back(item.get<std::string>());
             else
-                faults_.note(field, "is not a string");
+                problems_.record(field, "is not a string");
         });
     }
 
@@ -90,7 +90,7 @@
     void read_objects(const char* name, std::vector<Item>& out,
                       Reader read_object) {
         read_items(name, [&](const json_value& item, const std::string& field) {
-            object_reader reader(item, field, faults_);
+            object_reader reader(item, field, problems_);
             Item decoded;
             read_object(reader, decoded);
             reader.finish();
@@ -98,8 +98,8 @@
         });
     }
 
-    void fault(const char* name, const std::string& message) {
-        faults_.note(path(name), message);
+    void report(const char* name, const std::string& message) {
+        problems_.record(path(name), message);
     }
 
     /// Notes every field that was not read.
@@ -107,8 +107,8 @@
         if (!object_.is_object())
             return;
         for (const auto& [name, value] : object_.items()) {
-            if (!taken_.contains(name))
-                faults_.note(path(name), "unknown field");
+            if (!read_fields_.contains(name))
+                problems_.record(path(name), "unknown field");
         }
     }
 
@@ -117,8 +117,8 @@
         return (json_value::json_pointer(pointer_) / name).to_string();
     }
 
-    [[nodiscard]] const json_value* take(const char* name) {
-        taken_.insert(name);
+    [[nodiscard]] const json_value* find_field(const char* name) {
+        read_fields_.insert(name);
         if (!object_.is_object())
             return nullptr;
         const auto found = object_.find(name);
@@ -127,23 +127,23 @@
 
     void read_number(const char* name, std::uint64_t limit,
                      std::uint64_t& out) {
-        const json_value* value = take(name);
+        const json_value* value = find_field(name);
         if (value == nullptr)
             return;
         if (!value->is_number_unsigned() || value->get<std::uint64_t>() > limit)
-            faults_.note(path(name), "is not an integer from 0 to " +
-                                         std::to_string(limit));
+            problems_.record(path(name), "is not an integer from 0 to " +
+                                             std::to_string(limit));
         else
             out = value->get<std::uint64_t>();
     }
 
     template <typename Reader>
     void read_items(const char* name, Reader read_item) {
-        const json_value* value = take(name);
+        const json_value* value = find_field(name);
         if (value == nullptr)
             return;
         if (!value->is_array()) {
-            faults_.note(path(name), "is not a list");
+            problems_.record(path(name), "is not a list");
             return;
         }
         for (std::size_t index = 0; index < value->size(); ++index)
@@ -153,8 +153,8 @@
 
     const json_value& object_;
     std::string pointer_;
-    fault_record& faults_;
-    std::set<std::string> taken_;
+    problem_recorder& problems_;
+    std::set<std::string> read_fields_;
 };
 
 void read_service(object_reader& reader, service& out) {
@@ -164,7 +164,7 @@
     reader.read("vms", out.vms);
     reader.read("non_idempotent_routes", out.non_idempotent_routes);
     if (kind != "engine" && kind != "plain")
-        reader.fault("kind", "is neither engine nor plain");
+        reader.report("kind", "is neither engine nor plain");
     out.kind = kind == "plain" ? service_kind::plain : service_kind::engine;
 }
 
@@ -201,7 +201,7 @@
     std::string schema;
     reader.read("schema", schema);
     if (schema != schema_name)
-        reader.fault("schema", std::string("is not ") + schema_name);
+        reader.report("schema", std::string("is not ") + schema_name);
     reader.read("revision", out.number);
     reader.read("based_on", out.based_on);
     reader.read("operation_id", out.operation_id);
@@ -287,13 +287,13 @@
                         std::to_string(max_document_bytes));
     try {
         const auto parsed = json_value::parse(json);
-        fault_record faults;
+        problem_recorder problems;
         rollout_document document;
-        object_reader reader(parsed, "", faults);
+        object_reader reader(parsed, "", problems);
         read_document(reader, document);
-        if (const auto& fault = faults.first())
+        if (const auto& problem = problems.first())
             return fail(error_code::malformed, "rollout.parse", "",
-                        fault->field + ": " + fault->message);
+                        problem->field + ": " + problem->message);
         return document;
     } catch (const json_value::exception& problem) {
         return fail(error_code::malformed, "rollout.parse", "", problem.what());
--- a/src/rollout/rollout_checks.cpp
+++ b/src/rollout/rollout_checks.cpp
@@ -12,7 +12,7 @@
 
 using json_value = nlohmann::json;
 
-constexpr std::uint32_t whole_percent = 100;
+constexpr std::uint32_t max_percent = 100;
 constexpr const char* every_organisation = "*";
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -138,14 +138,14 @@
 
     void check_percent(const deployment& item, const traffic_rule& rule,
                        const std::string& field) {
-        if (rule.percent > whole_percent) {
+        if (rule.percent > max_percent) {
             add(field, "is above 100");
             return;
         }
         std::uint32_t& sum = percent_[{item.service, rule.organisation}];
-        const bool was_whole = sum <= whole_percent;
+        const bool was_within_limit = sum <= max_percent;
         sum += rule.percent;
-        if (was_whole && sum > whole_percent)
+        if (was_within_limit && sum > max_percent)
             add(field, "the sum for " + rule.organisation + " at " +
                            item.service + " is above 100");
     }
@@ -188,7 +188,7 @@
     return object;
 }
 
-json_value comparable(const rollout_document& document) {
+json_value to_keyed_json(const rollout_document& document) {
     const auto json = json_value::parse(to_json_text(document));
     json_value keyed;
     for (const char* list :
@@ -199,9 +199,9 @@
     return keyed;
 }
 
-void collect(const json_value& before, const json_value& after,
-             const json_value::json_pointer& field,
-             std::vector<rollout_change>& changes) {
+void collect_changes(const json_value& before, const json_value& after,
+                     const json_value::json_pointer& field,
+                     std::vector<rollout_change>& changes) {
     if (before == after)
         return;
     if (!before.is_object() || !after.is_object()) {
@@ -213,8 +213,8 @@
     json_value names = before;
     names.update(after);
     for (const auto& [name, unused] : names.items())
-        collect(before.value(name, json_value()),
-                after.value(name, json_value()), field / name, changes);
+        collect_changes(before.value(name, json_value()),
+                        after.value(name, json_value()), field / name, changes);
 }
 
 } // namespace
@@ -226,8 +226,8 @@
 std::vector<rollout_change> diff(const rollout_document& before,
                                  const rollout_document& after) {
     std::vector<rollout_change> changes;
-    collect(comparable(before), comparable(after), json_value::json_pointer(),
-            changes);
+    collect_changes(to_keyed_json(before), to_keyed_json(after),
+                    json_value::json_pointer(), changes);
     return changes;
 }
 
--- a/tests/acceptance.cpp
+++ b/tests/acceptance.cpp
@@ -13,10 +13,10 @@
 /// What becomes of one call.
 enum class fault {
     none,
-    down,      ///< Refused: nothing was sent.
-    lost,      ///< Takes effect, the answer is lost.
-    swallowed, ///< Never arrives, and nobody knows.
-    late,      ///< Arrives when the test lets it, and nobody knows.
+    unavailable,  ///< Refused: nothing was sent.
+    answer_lost,  ///< Takes effect, the answer is lost.
+    request_lost, ///< Never arrives, and nobody knows.
+    delayed,      ///< Arrives when the test lets it, and nobody knows.
 };
 
 /// Keys with compare-and-swap, and a fault for each of the next calls.
@@ -34,15 +34,15 @@
         switch (take_fault()) {
         case fault::none:
             return write(call);
-        case fault::down:
+        case fault::unavailable:
             return error{error_code::unavailable, "kv.write", "", ""};
-        case fault::lost:
+        case fault::answer_lost:
             static_cast<void>(write(call));
             break;
-        case fault::late:
-            late.push_back(call);
+        case fault::delayed:
+            delayed_writes.push_back(call);
             break;
-        case fault::swallowed:
+        case fault::request_lost:
             break;
         }
         return error{error_code::unknown_effect, "kv.write", "", ""};
@@ -76,7 +76,7 @@
     }
 
     std::deque<fault> faults;
-    std::vector<kv_write_call> late;
+    std::vector<kv_write_call> delayed_writes;
     std::map<std::string, int> writes;
 
   private:
@@ -175,7 +175,7 @@
 
 TEST_CASE("acceptance - a lost answer that took effect is found by reading") {
     store keys = store_with(1);
-    keys.faults = {fault::none, fault::none, fault::lost};
+    keys.faults = {fault::none, fault::none, fault::answer_lost};
     const auto result = finish(acceptance(request(1, "op-2", "asha", 9)), keys);
     CHECK(accepted_number(result) == 2);
     CHECK(keys.document(current_rollout_key).operation_id == "op-2");
@@ -186,7 +186,7 @@
     store keys = store_with(1);
     acceptance first(request(1, "op-2", "asha", 9));
     acceptance_step step = first.begin();
-    keys.faults = {fault::none, fault::none, fault::lost};
+    keys.faults = {fault::none, fault::none, fault::answer_lost};
     for (int calls = 0; calls < 3; ++calls)
         step = advance(first, step, keys);
     const auto second = finish(acceptance(request(2, "op-3", "ken", 10)), keys);
@@ -197,7 +197,7 @@
 
 TEST_CASE("acceptance - a swallowed write is repeated after a read") {
     store keys = store_with(1);
-    keys.faults = {fault::none, fault::none, fault::swallowed};
+    keys.faults = {fault::none, fault::none, fault::request_lost};
     const auto result = finish(acceptance(request(1, "op-2", "asha", 9)), keys);
     CHECK(accepted_number(result) == 2);
 }
@@ -206,11 +206,12 @@
     store keys = store_with(1);
     acceptance operation(request(1, "op-2", "asha", 9));
     acceptance_step step = operation.begin();
-    keys.faults = {fault::none, fault::none, fault::late};
+    keys.faults = {fault::none, fault::none, fault::delayed};
     for (int calls = 0; calls < 4; ++calls) // the last one reads: unchanged
         step = advance(operation, step, keys);
     REQUIRE(std::holds_alternative<kv_write_call>(step));
-    CHECK(std::holds_alternative<kv_written>(keys.write(keys.late.at(0))));
+    CHECK(std::holds_alternative<kv_written>(
+        keys.write(keys.delayed_writes.at(0))));
     CHECK(accepted_number(finish(operation, step, keys)) == 2);
     CHECK(keys.document(current_rollout_key).number == 2);
 }
@@ -219,27 +220,30 @@
     store keys = store_with(1);
     acceptance operation(request(1, "op-2", "asha", 9));
     acceptance_step step = operation.begin();
-    keys.faults = {fault::none, fault::none, fault::late};
+    keys.faults = {fault::none, fault::none, fault::delayed};
     for (int calls = 0; calls < 3; ++calls)
         step = advance(operation, step, keys);
     REQUIRE(accepted_number(
                 finish(acceptance(request(1, "op-x", "ken", 5)), keys)) == 2);
     CHECK(rejection_of(finish(operation, step, keys)).reason ==
           rejection::outdated);
-    CHECK(std::holds_alternative<kv_conflict>(keys.write(keys.late.at(0))));
+    CHECK(std::holds_alternative<kv_conflict>(
+        keys.write(keys.delayed_writes.at(0))));
     CHECK(keys.document(current_rollout_key).operation_id == "op-x");
 }
 
 TEST_CASE("acceptance - the platform goes down after the write: not yet "
           "known, then resolved") {
     store keys = store_with(1);
-    keys.faults = {fault::none, fault::none, fault::lost, fault::down,
-                   fault::down, fault::down, fault::down};
+    keys.faults = {fault::none,        fault::none,        fault::answer_lost,
+                   fault::unavailable, fault::unavailable, fault::unavailable,
+                   fault::unavailable};
     const auto result = finish(acceptance(request(1, "op-2", "asha", 9)), keys);
     const auto* open = std::get_if<not_yet_known>(&result);
     REQUIRE(open != nullptr);
     CHECK(open->operation_id == "op-2");
-    keys.faults = {fault::down, fault::down, fault::down, fault::down};
+    keys.faults = {fault::unavailable, fault::unavailable, fault::unavailable,
+                   fault::unavailable};
     CHECK(std::holds_alternative<not_yet_known>(
         finish(acceptance::resolve("op-2", 1), keys)));
     keys.faults.clear();
@@ -280,11 +284,11 @@
     }
     CHECK(accepted_number(finish(asha, step_of_asha, keys)) == 2);
     const auto result = finish(ken, step_of_ken, keys);
-    const rejected& told = rejection_of(result);
-    CHECK(told.reason == rejection::outdated);
-    CHECK(told.current == 2);
-    REQUIRE(told.clashes.size() == 1);
-    CHECK(told.clashes[0] ==
+    const rejected& outcome = rejection_of(result);
+    CHECK(outcome.reason == rejection::outdated);
+    CHECK(outcome.current == 2);
+    REQUIRE(outcome.clashes.size() == 1);
+    CHECK(outcome.clashes[0] ==
           rollout_clash{"/organisations/board/weight", "8", "7", "asha", 2});
     CHECK(keys.document(current_rollout_key).operation_id == "op-a");
 }
@@ -295,11 +299,11 @@
     late.draft.organisations[0].weight = 30;
     late.draft.organisations[1].weight = 40;
     const auto result = finish(acceptance(late), keys);
-    const rejected& told = rejection_of(result);
-    CHECK(told.reason == rejection::outdated);
-    REQUIRE(told.clashes.size() == 1); // nobody else changed credit
-    CHECK(told.clashes[0] == rollout_clash{"/organisations/board/weight", "30",
-                                           "4", "shift-4", 4});
+    const rejected& outcome = rejection_of(result);
+    CHECK(outcome.reason == rejection::outdated);
+    REQUIRE(outcome.clashes.size() == 1); // nobody else changed credit
+    CHECK(outcome.clashes[0] == rollout_clash{"/organisations/board/weight",
+                                              "30", "4", "shift-4", 4});
     CHECK(keys.document(current_rollout_key).number == 4);
 }
 
@@ -325,10 +329,10 @@
 
 TEST_CASE("acceptance - a platform that is down before the write: rejected") {
     store keys = store_with(1);
-    keys.faults = {fault::down};
+    keys.faults = {fault::unavailable};
     CHECK(rejection_of(finish(acceptance(request(1, "op-2", "asha", 9)), keys))
               .reason == rejection::unavailable);
-    keys.faults = {fault::none, fault::none, fault::down};
+    keys.faults = {fault::none, fault::none, fault::unavailable};
     CHECK(rejection_of(finish(acceptance(request(1, "op-2", "asha", 9)), keys))
               .reason == rejection::unavailable);
     CHECK(keys.document(current_rollout_key).number == 1);
--- a/tests/config_register.cpp
+++ b/tests/config_register.cpp
@@ -8,36 +8,38 @@
 
 namespace {
 
-const std::vector<std::string> three = {"w1", "w2", "w3"};
+const std::vector<std::string> three_witnesses = {"w1", "w2", "w3"};
 
 /// What witness `name` tells of itself; `answers` is the question's sequence.
 revision_report report(const std::string& name, revision number,
-                       std::uint64_t answers = 0,
+                       std::uint64_t acked_sequence = 0,
                        std::uint64_t incarnation = 1) {
     const process_id id{name, incarnation};
-    return {id, number, {{id, number}}, answers};
+    return {id, number, {{id, number}}, acked_sequence};
 }
 
 /// Witnesses that `actions` asks.
-std::vector<std::string> questions(const config_register::actions& actions) {
+std::vector<std::string>
+queried_witnesses(const config_register::actions& actions) {
     std::vector<std::string> names;
     for (const register_action& action : actions) {
-        if (const auto* ask = std::get_if<ask_witness>(&action))
-            names.push_back(ask->witness);
+        if (const auto* query = std::get_if<query_witness>(&action))
+            names.push_back(query->witness);
     }
     return names;
 }
 
 /// An agent that holds revision 2 and was told that w1 and w2 hold it too;
 /// its questions to them have the sequences 11 and 12.
-config_register asking_agent() {
-    config_register node({"a1", 1}, process_role::agent, three, 1);
+config_register querying_agent() {
+    config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(node.on_platform_read(json_of(2), instant()));
     static_cast<void>(node.on_revision_report(report("w1", 2), instant()));
-    REQUIRE(questions(node.on_revision_report(report("w2", 2), instant())) ==
+    REQUIRE(queried_witnesses(
+                node.on_revision_report(report("w2", 2), instant())) ==
             std::vector<std::string>{"w1", "w2"});
-    node.on_witness_asked("w1", 11);
-    node.on_witness_asked("w2", 12);
+    node.on_witness_queried("w1", 11);
+    node.on_witness_queried("w2", 12);
     return node;
 }
 
@@ -46,28 +48,31 @@
 TEST_CASE("config_register - a revision is in force once a majority has "
           "confirmed that it holds it") {
     const instant now{};
-    config_register node({"a1", 1}, process_role::agent, three, 1);
+    config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     CHECK(node.on_platform_read(json_of(1), now).empty());
     CHECK(node.on_revision_report(report("w1", 1), now).empty());
     // Holding a higher revision counts as well.
-    CHECK(questions(node.on_revision_report(report("w2", 4), now)).size() == 2);
+    CHECK(queried_witnesses(node.on_revision_report(report("w2", 4), now))
+              .size() == 2);
     CHECK(in_force(node) == 0);
-    node.on_witness_asked("w1", 11);
-    node.on_witness_asked("w2", 12);
-    CHECK(questions(node.on_revision_report(report("w1", 1, 11), now)).empty());
+    node.on_witness_queried("w1", 11);
+    node.on_witness_queried("w2", 12);
+    CHECK(queried_witnesses(node.on_revision_report(report("w1", 1, 11), now))
+              .empty());
     CHECK(in_force(node) == 0);
     const auto actions = node.on_revision_report(report("w2", 4, 12), now);
     CHECK(in_force(node) == 1);
-    bool told = false;
+    bool is_announced = false;
     for (const register_action& action : actions)
-        told = told || std::holds_alternative<put_in_force>(action);
-    CHECK(told);
+        is_announced =
+            is_announced || std::holds_alternative<put_in_force>(action);
+    CHECK(is_announced);
 }
 
 TEST_CASE("config_register - only an answer of the same incarnation to the "
           "question confirms") {
     const instant now{};
-    config_register node = asking_agent();
+    config_register node = querying_agent();
     static_cast<void>(node.on_revision_report(report("w1", 2, 11), now));
     SECTION("the answer to an earlier ping does not") {
         static_cast<void>(node.on_revision_report(report("w2", 2, 10), now));
@@ -98,11 +103,11 @@
 TEST_CASE("config_register - a lost question is repeated, and its round "
           "begins anew") {
     const instant now{};
-    config_register node = asking_agent();
+    config_register node = querying_agent();
     static_cast<void>(node.on_revision_report(report("w1", 2, 11), now));
-    CHECK(questions(node.tick(now + seconds(1))).size() == 2);
-    node.on_witness_asked("w1", 21);
-    node.on_witness_asked("w2", 22);
+    CHECK(queried_witnesses(node.tick(now + seconds(1))).size() == 2);
+    node.on_witness_queried("w1", 21);
+    node.on_witness_queried("w2", 22);
     static_cast<void>(node.on_revision_report(report("w2", 2, 22), now));
     CHECK(in_force(node) == 0); // w1 has to answer again
     static_cast<void>(node.on_revision_report(report("w1", 2, 21), now));
@@ -110,7 +115,7 @@
 }
 
 TEST_CASE("config_register - a revision in force elsewhere needs no question") {
-    config_register node({"a1", 1}, process_role::agent, three, 1);
+    config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(node.receive(push_of("a2", 2), instant()));
     static_cast<void>(node.on_in_force_elsewhere(2));
     CHECK(in_force(node) == 0); // not recovered
@@ -123,32 +128,34 @@
 TEST_CASE("config_register - what an earlier run of a witness held does not "
           "count once its new run has recovered without it") {
     const instant now{};
-    config_register w2({"w2", 1}, process_role::entry, three, 1);
-    config_register w3({"w3", 1}, process_role::entry, three, 1);
+    config_register w2({"w2", 1}, process_role::entry, three_witnesses, 1);
+    config_register w3({"w3", 1}, process_role::entry, three_witnesses, 1);
     for (config_register* node : {&w2, &w3})
         static_cast<void>(node->on_platform_read(json_of(1), now));
     // w1 held revision 2 and told only a1, then restarted with nothing and
     // recovered from w2 and w3, which did not have revision 2 yet.
-    config_register a1({"a1", 1}, process_role::agent, three, 1);
+    config_register a1({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(a1.on_platform_read(json_of(2), now));
     static_cast<void>(a1.on_revision_report(report("w1", 2), now));
-    config_register w1({"w1", 2}, process_role::entry, three, 1);
+    config_register w1({"w1", 2}, process_role::entry, three_witnesses, 1);
     for (config_register* node : {&w2, &w3})
         static_cast<void>(w1.receive(node->answer({{"w1", 2}, 0}), now));
     REQUIRE(w1.recovered());
     REQUIRE(w1.document() == 1);
     // w2 gets revision 2 now: one witness of three holds it.
     static_cast<void>(w2.receive(push_of("a1", 2), now));
-    CHECK(questions(a1.on_revision_report(report("w2", 2), now)).size() == 2);
-    a1.on_witness_asked("w1", 11);
-    a1.on_witness_asked("w2", 12);
+    CHECK(
+        queried_witnesses(a1.on_revision_report(report("w2", 2), now)).size() ==
+        2);
+    a1.on_witness_queried("w1", 11);
+    a1.on_witness_queried("w2", 12);
     static_cast<void>(
         a1.on_revision_report({{"w1", 2}, w1.document(), w1.held(), 11}, now));
     static_cast<void>(
         a1.on_revision_report({{"w2", 1}, w2.document(), w2.held(), 12}, now));
     CHECK(in_force(a1) == 0);
     // So a process that starts and hears w1 and w3 misses nothing in force.
-    config_register a2({"a2", 1}, process_role::agent, three, 1);
+    config_register a2({"a2", 1}, process_role::agent, three_witnesses, 1);
     for (config_register* node : {&w1, &w3})
         static_cast<void>(a2.receive(node->answer({{"a2", 1}, 0}), now));
     REQUIRE(a2.recovered());
@@ -156,9 +163,9 @@
     // The new run counts as soon as it holds the document itself.
     static_cast<void>(w1.receive(push_of("w2", 2), now));
     static_cast<void>(a1.on_revision_report({{"w1", 2}, 2, w1.held(), 0}, now));
-    REQUIRE(questions(a1.tick(now)).size() == 2);
-    a1.on_witness_asked("w1", 21);
-    a1.on_witness_asked("w2", 22);
+    REQUIRE(queried_witnesses(a1.tick(now)).size() == 2);
+    a1.on_witness_queried("w1", 21);
+    a1.on_witness_queried("w2", 22);
     static_cast<void>(
         a1.on_revision_report({{"w1", 2}, 2, w1.held(), 21}, now));
     static_cast<void>(
@@ -169,7 +176,7 @@
 TEST_CASE("config_register - a process that heard of a higher revision waits "
           "for it") {
     const instant now{};
-    config_register node({"a1", 1}, process_role::agent, three, 1);
+    config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(node.receive(push_of("a2", 1), now));
     for (const char* name : {"w1", "w2"}) {
         sync_reply reply;
@@ -187,7 +194,7 @@
 }
 
 TEST_CASE("config_register - a damaged document is refused with its peer") {
-    config_register node({"a1", 1}, process_role::agent, three, 1);
+    config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     document_push push = push_of("a2", 4);
     push.json = "{\"schema\":\"other\"}";
     const auto actions = node.receive(push, instant());
--- a/tests/config_spread.cpp
+++ b/tests/config_spread.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const std::vector<std::string> three = {"w1", "w2", "w3"};
+const std::vector<std::string> three_witnesses = {"w1", "w2", "w3"};
 
 revision held_at(const config_register& node, const std::string& witness) {
     for (const held_revision& item : node.held()) {
@@ -22,9 +22,9 @@
 register_group started_group() {
     register_group all;
     for (const char* name : {"w1", "w2", "w3"})
-        all.add(name, process_role::entry, three);
+        all.add(name, process_role::entry, three_witnesses);
     for (const char* name : {"a1", "a2"})
-        all.add(name, process_role::agent, three);
+        all.add(name, process_role::agent, three_witnesses);
     for (const char* name : {"w1", "w2", "w3", "a1", "a2"})
         all.apply(name, all.at(name).on_platform_read("", all.now));
     return all;
@@ -101,7 +101,7 @@
     REQUIRE(in_force(all.at("a1")) == 2);
     REQUIRE(in_force(all.at("a2")) == 1);
 
-    all.add("a1", process_role::agent, three, 2);
+    all.add("a1", process_role::agent, three_witnesses, 2);
     all.passes = [](const std::string& from, const std::string& to) {
         return (from == "a1" && to == "a2") || (from == "a2" && to == "a1");
     };
@@ -123,7 +123,7 @@
     register_group all = started_group();
     all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
-    all.add("w3", process_role::entry, three, 2);
+    all.add("w3", process_role::entry, three_witnesses, 2);
     all.passes = [](const std::string& from, const std::string& to) {
         return from != "w2" && to != "w2";
     };
@@ -133,7 +133,7 @@
     CHECK(held_at(all.at("w3"), "w3") == 0);
     CHECK(in_force(all.at("w3")) == 0);
     // An unrecovered witness does not count for another starting process.
-    all.add("a1", process_role::agent, three, 2);
+    all.add("a1", process_role::agent, three_witnesses, 2);
     for (int round = 0; round < 3; ++round)
         all.gossip();
     CHECK_FALSE(all.at("a1").recovered());
@@ -191,13 +191,13 @@
 
 TEST_CASE("config_spread - pushes alone reach a fleet of 200") {
     register_group all;
-    all.introduces = false;
+    all.auto_update_peers = false;
     const std::vector<std::string> witnesses = {"e0", "e1", "e2", "e3", "e4"};
     for (int index = 0; index < 8; ++index)
         all.add("e" + std::to_string(index), process_role::entry, witnesses);
     for (int index = 0; index < 192; ++index)
         all.add("a" + std::to_string(index), process_role::agent, witnesses);
-    all.introduce();
+    all.update_peers();
     all.apply("e7", all.at("e7").on_accepted(json_of(1)));
     std::size_t reached = 0;
     for (int index = 0; index < 192; ++index)
--- a/tests/configuration.cpp
+++ b/tests/configuration.cpp
@@ -59,7 +59,7 @@
         });
     }
 
-    std::size_t users_of(const std::string& name) {
+    std::size_t count_alive(const std::string& name) {
         return call([this, name] {
             std::size_t seen = 0;
             for (const auto role : {process_role::entry, process_role::agent})
@@ -111,9 +111,9 @@
             witnesses_.push_back({"e" + std::to_string(index + 1),
                                   {"127.0.0.1", ports.at(index)}});
         for (const witness_settings& witness : witnesses_)
-            describe(witness.name, process_role::entry, witness.peer);
-        describe("a1", process_role::agent, {"127.0.0.1", ports.at(3)});
-        describe("a2", process_role::agent, {"127.0.0.1", ports.at(4)});
+            add_settings(witness.name, process_role::entry, witness.peer);
+        add_settings("a1", process_role::agent, {"127.0.0.1", ports.at(3)});
+        add_settings("a2", process_role::agent, {"127.0.0.1", ports.at(4)});
         for (const auto& [name, values] : values_)
             start(name);
     }
@@ -136,27 +136,27 @@
         return count;
     }
 
-    bool all(const std::function<bool(control_node&)>& holds) {
+    bool all(const std::function<bool(control_node&)>& predicate) {
         return std::all_of(nodes_.begin(), nodes_.end(),
-                           [&](auto& item) { return holds(*item.second); });
+                           [&](auto& item) { return predicate(*item.second); });
     }
 
     /// Waits until `holds` is true for every process.
-    bool await(const std::function<bool(control_node&)>& holds,
-               milliseconds limit) {
-        const instant end = steady::now() + limit;
-        while (!all(holds)) {
-            if (steady::now() > end)
+    bool await(const std::function<bool(control_node&)>& predicate,
+               milliseconds timeout) {
+        const instant deadline = steady::now() + timeout;
+        while (!all(predicate)) {
+            if (steady::now() > deadline)
                 return false;
             std::this_thread::sleep_for(poll_interval);
         }
         return true;
     }
 
-    bool await_in_force(revision number, milliseconds limit) {
+    bool await_in_force(revision number, milliseconds timeout) {
         return await(
             [number](control_node& node) { return node.in_force() == number; },
-            limit);
+            timeout);
     }
 
     bool await_ready() {
@@ -171,8 +171,8 @@
     standin vms;
 
   private:
-    void describe(const std::string& name, process_role role,
-                  const address& peer) {
+    void add_settings(const std::string& name, process_role role,
+                      const address& peer) {
         settings values = node_settings(name, peer.port);
         values.process.role = role;
         values.process.data_centre = "kolkata";
@@ -273,14 +273,14 @@
     REQUIRE(system.await_ready());
     system.at("e2").set_leaving();
     CHECK(system.await(
-        [](control_node& node) { return node.users_of("e2") == 0; },
+        [](control_node& node) { return node.count_alive("e2") == 0; },
         seconds(3)));
     system.vms.post("/control/vm", {{"vm", "a1"}, {"state", "leaving"}});
     CHECK(system.await(
-        [](control_node& node) { return node.users_of("a1") == 0; },
+        [](control_node& node) { return node.count_alive("a1") == 0; },
         seconds(3)));
     CHECK(system.await(
-        [](control_node& node) { return node.users_of("a2") == 1; },
+        [](control_node& node) { return node.count_alive("a2") == 1; },
         seconds(1)));
 }
 
--- a/tests/rollout.cpp
+++ b/tests/rollout.cpp
@@ -35,7 +35,7 @@
     return document;
 }
 
-std::string parse_fault(const std::string& json) {
+std::string parse_error_detail(const std::string& json) {
     error failure;
     const auto document =
         value_or_error([&] { return parse_rollout(json); }, failure);
@@ -76,19 +76,21 @@
 TEST_CASE("rollout - an unknown field is named by its pointer") {
     auto json = nlohmann::json::parse(to_json_text(sample()));
     json["deployments"][1]["colour"] = "red";
-    CHECK(parse_fault(json.dump()) == "/deployments/1/colour: unknown field");
+    CHECK(parse_error_detail(json.dump()) ==
+          "/deployments/1/colour: unknown field");
 }
 
 TEST_CASE("rollout - a wrong type is named by its pointer") {
     auto json = nlohmann::json::parse(to_json_text(sample()));
     json["classes"][0]["deadline_ms"] = "2s";
-    CHECK(parse_fault(json.dump()).starts_with("/classes/0/deadline_ms: "));
+    CHECK(parse_error_detail(json.dump())
+              .starts_with("/classes/0/deadline_ms: "));
     json = nlohmann::json::parse(to_json_text(sample()));
     json["deployments"][0]["traffic"][0]["percent"] = -1;
-    CHECK(parse_fault(json.dump())
+    CHECK(parse_error_detail(json.dump())
               .starts_with("/deployments/0/traffic/0/percent: "));
-    CHECK(parse_fault("[]") == ": is not an object");
-    CHECK(parse_fault("{}").starts_with("/schema: "));
+    CHECK(parse_error_detail("[]") == ": is not an object");
+    CHECK(parse_error_detail("{}").starts_with("/schema: "));
 }
 
 TEST_CASE("rollout - a text above the limit is refused before parsing") {
--- a/tests/support/register_group.cpp
+++ b/tests/support/register_group.cpp
@@ -27,11 +27,11 @@
     nodes_.insert_or_assign(name, config_register({name, incarnation}, role,
                                                   witnesses, incarnation));
     incarnations_[name] = incarnation;
-    if (introduces)
-        introduce();
+    if (auto_update_peers)
+        update_peers();
 }
 
-void register_group::introduce() {
+void register_group::update_peers() {
     std::vector<std::string> names;
     for (const auto& [known, node] : nodes_)
         names.push_back(known);
@@ -43,7 +43,7 @@
                            const config_register::actions& actions) {
     post(from, actions);
     while (!queue_.empty()) {
-        const letter next = queue_.front();
+        const envelope next = queue_.front();
         queue_.pop_front();
         if (nodes_.contains(next.to) && passes(next.from, next.to))
             deliver(next);
@@ -80,22 +80,22 @@
     for (const register_action& action : actions) {
         if (const auto* push = std::get_if<push_document>(&action))
             queue_.push_back({from, push->peer, push->push});
-        if (const auto* ask = std::get_if<ask_document>(&action))
-            queue_.push_back({from, ask->peer, ask->request});
-        if (const auto* ask = std::get_if<ask_witness>(&action))
-            question(from, ask->witness);
+        if (const auto* request = std::get_if<request_document>(&action))
+            queue_.push_back({from, request->peer, request->request});
+        if (const auto* query = std::get_if<query_witness>(&action))
+            send_query(from, query->witness);
     }
 }
 
-void register_group::question(const std::string& from,
-                              const std::string& witness) {
+void register_group::send_query(const std::string& from,
+                                const std::string& witness) {
     gossip_ping ping;
     ping.sequence = ++sequence_;
-    nodes_.at(from).on_witness_asked(witness, ping.sequence);
+    nodes_.at(from).on_witness_queried(witness, ping.sequence);
     queue_.push_back({from, witness, ping});
 }
 
-void register_group::deliver(const letter& next) {
+void register_group::deliver(const envelope& next) {
     config_register& node = nodes_.at(next.to);
     if (const auto* push = std::get_if<document_push>(&next.value))
         post(next.to, node.receive(*push, now));
--- a/tests/support/register_group.hpp
+++ b/tests/support/register_group.hpp
@@ -30,7 +30,7 @@
              std::uint64_t incarnation = 1);
 
     /// Tells every process the names of all.
-    void introduce();
+    void update_peers();
 
     [[nodiscard]] config_register& at(const std::string& name) {
         return nodes_.at(name);
@@ -46,28 +46,29 @@
     /// Counts the processes that have `number` in force.
     [[nodiscard]] std::size_t count_in_force(revision number) const;
 
-    bool introduces = true; ///< `add` tells every process the names of all.
+    bool auto_update_peers =
+        true; ///< `add` tells every process the names of all.
     instant now = instant() + std::chrono::hours(1);
     /// Returns whether a message from the first to the second arrives.
     std::function<bool(const std::string&, const std::string&)> passes =
         [](const std::string&, const std::string&) { return true; };
 
   private:
-    struct letter {
+    struct envelope {
         std::string from;
         std::string to;
         message value;
     };
 
     void post(const std::string& from, const config_register::actions& actions);
-    void question(const std::string& from, const std::string& witness);
-    void deliver(const letter& next);
+    void send_query(const std::string& from, const std::string& witness);
+    void deliver(const envelope& next);
     [[nodiscard]] gossip_ack answer(const std::string& name,
                                     const gossip_ping& ping) const;
 
     std::map<std::string, config_register> nodes_;
     std::map<std::string, std::uint64_t> incarnations_;
-    std::deque<letter> queue_;
+    std::deque<envelope> queue_;
     std::uint64_t sequence_ = 0;
 };
 
--- a/tests/support/revision_monitor.cpp
+++ b/tests/support/revision_monitor.cpp
@@ -23,7 +23,7 @@
 }
 
 revision_monitor::~revision_monitor() {
-    ended_ = true;
+    stopping_ = true;
     for (std::thread& each : threads_)
         each.join();
 }
@@ -32,7 +32,7 @@
                                               revision number,
                                               instant after) const {
     const absl::MutexLock lock(&mutex_);
-    for (const sighting& item : records_.at(name).sightings) {
+    for (const observation& item : records_.at(name).observations) {
         if (item.time >= after && item.in_force >= number)
             return item.time;
     }
@@ -42,12 +42,12 @@
 bool revision_monitor::await(const std::vector<std::string>& names,
                              revision number, instant after,
                              milliseconds timeout) const {
-    const instant limit = steady::now() + timeout;
+    const instant deadline = steady::now() + timeout;
     const auto is_seen = [&](const std::string& name) {
         return seen(name, number, after).has_value();
     };
     while (!std::all_of(names.begin(), names.end(), is_seen)) {
-        if (steady::now() >= limit)
+        if (steady::now() >= deadline)
             return false;
         std::this_thread::sleep_for(await_interval);
     }
@@ -74,7 +74,7 @@
     client.set_connection_timeout(call_timeout);
     client.set_read_timeout(call_timeout);
     client.set_bearer_token_auth(token.c_str());
-    while (!ended_) {
+    while (!stopping_) {
         if (paused_) {
             std::this_thread::sleep_for(await_interval);
             continue;
@@ -85,14 +85,15 @@
                 nlohmann::json::parse(answer->body, nullptr, false);
             const absl::MutexLock lock(&mutex_);
             if (dump.is_object())
-                note(records_.at(name), dump, steady::now());
+                add_observation(records_.at(name), dump, steady::now());
         }
         std::this_thread::sleep_for(interval);
     }
 }
 
-void revision_monitor::note(record& known, const nlohmann::json& dump,
-                            instant time) {
+void revision_monitor::add_observation(record& known,
+                                       const nlohmann::json& dump,
+                                       instant time) {
     const auto& services = dump.value("services", nlohmann::json::object());
     if (!services.contains("configuration") || !services.contains("network"))
         return;
@@ -108,7 +109,7 @@
     if (in_force != 0 && in_force < known.highest)
         ++known.reverted;
     known.highest = std::max(known.highest, in_force);
-    known.sightings.push_back({time, in_force});
+    known.observations.push_back({time, in_force});
 }
 
 } // namespace ospreystage::support
--- a/tests/support/revision_monitor.hpp
+++ b/tests/support/revision_monitor.hpp
@@ -53,13 +53,13 @@
     [[nodiscard]] std::uint64_t sent_bytes(const std::string& name) const;
 
   private:
-    struct sighting {
+    struct observation {
         instant time{};
         revision in_force = 0;
     };
 
     struct record {
-        std::vector<sighting> sightings;
+        std::vector<observation> observations;
         std::string process;
         std::uint64_t last_sent = 0;
         std::uint64_t sent = 0;
@@ -69,11 +69,12 @@
 
     void poll(const std::string& name, const std::string& url,
               const std::string& token, milliseconds interval);
-    void note(record& known, const nlohmann::json& dump, instant time);
+    void add_observation(record& known, const nlohmann::json& dump,
+                         instant time);
 
     mutable absl::Mutex mutex_;
     std::map<std::string, record> records_;
-    std::atomic<bool> ended_ = false;
+    std::atomic<bool> stopping_ = false;
     std::atomic<bool> paused_ = false;
     std::vector<std::thread> threads_;
 };
