--- a/include/ospreystage/rollout/acceptance.hpp
+++ b/include/ospreystage/rollout/acceptance.hpp
@@ -11,60 +11,60 @@
 
 namespace ospreystage {
 
-/// Key of the document that was accepted last.
+/// Key of the document that is currently accepted.
 inline constexpr const char* current_rollout_key =
     "ospreystage/rollout/current";
 
-/// Key of the copy of an accepted document that was replaced since.
+/// Returns the key that holds the copy of a replaced revision.
 [[nodiscard]] std::string history_key(revision number);
 
-/// An operator's wish to replace the accepted document.
+/// An operator's request to replace the accepted document.
 struct acceptance_request {
     rollout_document draft;
-    revision based_on = 0; ///< Revision that the draft was edited from.
+    revision based_on = 0; ///< Revision from which the draft was edited.
     std::string operator_name;
-    std::string operation_id; ///< Chosen by the caller, unique, kept on retry.
-    std::string accepted_at;  ///< RFC 3339 time, for people only.
+    std::string operation_id; ///< Unique id from the caller, the same on retry.
+    std::string accepted_at;  ///< RFC 3339 time, informational only.
 };
 
-/// A field that the draft and somebody else changed.
+/// A field that both the draft and a concurrent edit changed.
 struct rollout_clash {
-    std::string field;       ///< As in `rollout_change`.
-    std::string ours;        ///< JSON text in the draft, empty if absent.
-    std::string theirs;      ///< JSON text that is accepted, or empty.
-    std::string changed_by;  ///< Operator of the other change.
-    revision changed_in = 0; ///< Revision of the other change.
+    std::string field;       ///< Path as in `rollout_change`.
+    std::string ours;        ///< JSON text in the draft; empty if absent.
+    std::string theirs;      ///< Accepted JSON text; empty if absent.
+    std::string changed_by;  ///< Operator who made the other change.
+    revision changed_in = 0; ///< Revision that contains the other change.
 
     friend bool operator==(const rollout_clash&,
                            const rollout_clash&) = default;
 };
 
-/// Why a draft was not accepted.
+/// Reason why a draft was not accepted.
 enum class rejection {
-    invalid,  ///< The draft has problems, or names an unknown revision.
-    outdated, ///< Another document was accepted; re-base the draft.
-    /// The platform's service could not be used: this call wrote nothing, but
-    /// an earlier call with the same operation id may have.
+    invalid, ///< The draft fails validation or is based on an unknown revision.
+    outdated, ///< Another document was accepted first; rebase the draft.
+    /// The platform's key-value service failed: this call wrote nothing, but
+    /// an earlier call with the same operation id may have done so.
     unavailable,
-    damaged, ///< The stored document cannot be read.
+    damaged, ///< The stored document cannot be parsed.
 };
 
-/// The document is accepted and lasts.
+/// The document is accepted and durably stored.
 struct accepted {
     revision number = 0;
     std::string json; ///< The accepted document.
 };
 
-/// This call did not accept the document.
+/// The document was not accepted by this call.
 struct rejected {
     rejection reason = rejection::invalid;
     std::string detail;
-    revision current = 0; ///< Accepted revision that was seen; 0 if unknown.
+    revision current = 0; ///< Accepted revision that was read; 0 if unknown.
     std::vector<rollout_problem> problems;
     std::vector<rollout_clash> clashes;
 };
 
-/// The write may or may not have taken effect; ask again with the same id.
+/// The write may or may not have taken effect; retry with the same id.
 struct not_yet_known {
     std::string operation_id;
     std::string detail;
@@ -73,49 +73,52 @@
 /// Outcome of an acceptance.
 using acceptance_result = std::variant<accepted, rejected, not_yet_known>;
 
-/// Read a key.
+/// A read of a key.
 struct kv_read_call {
     std::string key;
 };
 
-/// Write a key if its `mod_revision` is `expected` (0: absent).
+/// A compare-and-swap write: takes effect only if the key's `mod_revision` is
+/// `expected` (0: the key is absent).
 struct kv_write_call {
     std::string key;
     std::int64_t expected = 0;
     std::string value;
 };
 
-/// What an acceptance wants next: a call, or it is done.
+/// Next step of an acceptance: a call to make, or the final result.
 using acceptance_step =
     std::variant<kv_read_call, kv_write_call, acceptance_result>;
 
-/// What a call gave.
+/// Reply to a call.
 using kv_reply = std::variant<kv_reading, kv_written, kv_conflict, error>;
 
-/// One acceptance, from the draft to its outcome.
+/// State machine of one acceptance, from the draft to its result.
 ///
 /// Copies the current document to its history key, then replaces it by
 /// compare-and-swap. The accepted revision is always the one after
 /// `based_on`, so a lost answer is resolved by looking for the operation id
-/// in that revision. The write is repeated only after a read has shown the
-/// compared version unchanged; both writes then compare the same version, so
-/// at most one of them takes effect. Pure: the caller makes the calls.
+/// in that revision. The write is retried only after a read has shown that the
+/// compared version is unchanged; both writes then compare the same version,
+/// so at most one of them takes effect. Performs no I/O itself: the caller
+/// makes the calls.
 class acceptance {
   public:
     // ---- Construction ------------------------------------------------------
 
     explicit acceptance(acceptance_request request);
 
-    /// Looks for an earlier acceptance; reads only.
+    /// Creates a read-only operation that looks up the result of an earlier
+    /// acceptance.
     [[nodiscard]] static acceptance resolve(std::string operation_id,
                                             revision based_on);
 
     // ---- Steps -------------------------------------------------------------
 
-    /// Returns the first step.
+    /// Validates the request and returns the first step.
     [[nodiscard]] acceptance_step begin();
 
-    /// Takes the reply to the last step and returns the next one.
+    /// Processes the reply to the last step and returns the next step.
     [[nodiscard]] acceptance_step next(const kv_reply& reply);
 
   private:
@@ -158,23 +161,24 @@
     bool read_only_ = false;
     state state_;
     std::optional<kv_entry> current_entry_;
-    rollout_document current_;            ///< Last one read; revision 0: none.
-    std::vector<rollout_document> chain_; ///< From the base to `current_`.
+    rollout_document current_; ///< Last document read; revision 0: none.
+    std::vector<rollout_document> chain_; ///< Base to `current_`, in order.
     std::string written_json_;
     bool may_have_written_ = false;
     int failures_ = 0;
 };
 
-/// Names the fields that the draft changes and `chain` (the draft's base and
-/// the documents accepted after it, in order) changes to another value.
+/// Returns the fields that both the draft and `chain` change, to different
+/// values. `chain` holds the draft's base and the documents accepted after it,
+/// in order.
 [[nodiscard]] std::vector<rollout_clash>
 find_clashes(const std::vector<rollout_document>& chain,
              const rollout_document& draft);
 
-/// Returns the reason's name as it appears in JSON.
+/// Returns the name of the reason in JSON.
 [[nodiscard]] const char* to_string(rejection reason) noexcept;
 
-/// Makes the calls of an acceptance until it is done. Blocks.
+/// Makes the calls of an acceptance until its result is known. Blocks.
 [[nodiscard]] acceptance_result run(acceptance operation,
                                     const kv_client& client);
 
--- a/include/ospreystage/rollout/config_register.hpp
+++ b/include/ospreystage/rollout/config_register.hpp
@@ -19,76 +19,81 @@
 
 namespace ospreystage {
 
-/// Send a document to a peer.
+/// Push a document to a peer.
 struct push_document {
     std::string peer;
     document_push push;
 };
 
-/// Ask a peer for its document.
+/// Request a peer's document.
 struct request_document {
     std::string peer;
     sync_request request;
 };
 
-/// Ask a witness, by a datagram, what it holds now; report the question with
-/// `on_witness_asked`.
+/// Query a witness by datagram for the revision that it holds now; the caller
+/// passes the datagram's sequence number to `on_witness_queried`.
 struct query_witness {
     std::string witness;
 };
 
-/// A document is now in force on this process.
+/// Notification that a document is now in force on this process.
 struct put_in_force {
     std::shared_ptr<const rollout_document> document;
 };
 
-/// A push, an answer or the platform's value could not be used.
+/// A document from a push, a reply or the platform could not be parsed.
 struct document_refused {
     error reason;
 };
 
-/// What the register asks of its shell.
+/// Action that the register requests of its caller.
 using register_action =
     std::variant<push_document, request_document, query_witness, put_in_force,
                  document_refused>;
 
 /// Decides which accepted document is in force on this process.
 ///
-/// Holds the highest document heard of. Puts it in force in two rounds: once
-/// it has heard that a majority of the witnesses hold it or a higher one, it
-/// asks each of them, and a majority has to answer from the same incarnation
-/// that it still does. So a majority held it at one instant, and every later
-/// majority knows it; reports alone may be of different times, from witnesses
-/// that have restarted since. That a revision is in force at any other process
-/// is proof as well.
+/// Holds the highest document received and puts it in force in two rounds. The
+/// first round ends when a majority of the witnesses is reported to hold its
+/// revision or a higher one. In the second round the register queries each of
+/// these witnesses, and a majority must confirm, from the same incarnation,
+/// that it still holds the revision. A majority then held it at one instant, so
+/// every later majority includes a witness that holds it. Reports alone do not
+/// prove this: they may date from different times, and the witnesses may have
+/// restarted since. A revision that is in force at any other process needs no
+/// further confirmation.
 ///
-/// A process starts unrecovered: it puts nothing in force, and as a witness
-/// reports nothing, before it has read the platform's service or has heard
-/// from a majority of the witnesses that are recovered themselves; it then
-/// needs a document at least as high as the highest it heard of. What is in
-/// force never goes down. Pure: time is an argument.
+/// A process starts unrecovered: it puts nothing in force and, as a witness,
+/// reports nothing. It recovers when it has read the platform's key-value
+/// service, or when a majority of the witnesses, all of them recovered, have
+/// replied. From then on it puts in force only documents at least as high as
+/// the highest revision reported before it recovered. The revision in force
+/// never decreases. Performs no I/O; the caller passes the current time.
 class config_register {
   public:
     using actions = std::vector<register_action>;
 
     // ---- Construction ------------------------------------------------------
 
-    /// `witnesses` are the names of the settings; `seed` picks push targets.
+    /// `witnesses` are the configured names; `seed` seeds the random choice of
+    /// the peers that are sent a `sync_request`.
     config_register(process_id self, process_role role,
                     std::vector<std::string> witnesses, std::uint64_t seed);
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Document in force, or null if there is none yet.
+    /// Returns the document in force, or null if there is none yet.
     [[nodiscard]] std::shared_ptr<const rollout_document> in_force() const;
 
-    /// Highest document held, or null.
+    /// Returns the highest document held, or null.
     [[nodiscard]] std::shared_ptr<const rollout_document> highest() const;
 
-    /// Revision of the highest document held; 0 if there is none.
+    /// Returns the revision of the highest document held; 0 if there is none.
     [[nodiscard]] revision document() const noexcept;
 
-    /// What is known of the witnesses' documents, this process included.
+    /// Returns the highest known revision of each witness, including this
+    /// process if it is one.
     [[nodiscard]] std::vector<held_revision> held() const;
 
     [[nodiscard]] bool recovered() const noexcept;
@@ -97,47 +102,50 @@
 
     // ---- Inputs ------------------------------------------------------------
 
-    /// Sets the names of the peers that are alive. Documents are exchanged
-    /// with a few of them, always the same, and with the witnesses.
+    /// Sets the names of the live peers. Documents are exchanged with the
+    /// witnesses and with a small, stable subset of these peers.
     void set_peers(std::vector<std::string> peers);
 
-    /// The platform's service was read; empty text: nothing accepted yet.
+    /// Processes a read of the platform's key-value service; an empty `json`
+    /// means that no document has been accepted yet.
     [[nodiscard]] actions on_platform_read(const std::string& json,
                                            instant now);
 
-    /// A document was accepted here; it need not be the latest any more.
+    /// Processes a document that was accepted through this process; a later
+    /// one may have been accepted since.
     [[nodiscard]] actions on_accepted(const std::string& json);
 
-    /// A peer pushed a document.
+    /// Processes a document pushed by a peer.
     [[nodiscard]] actions receive(const document_push& push, instant now);
 
-    /// A peer answered a `sync_request` of this process.
+    /// Processes a peer's reply to a `sync_request` of this process.
     [[nodiscard]] actions receive(const sync_reply& reply, instant now);
 
-    /// A peer's datagram told what it holds.
+    /// Processes the revisions reported by a peer's datagram.
     [[nodiscard]] actions on_revision_report(const revision_report& report,
                                              instant now);
 
-    /// Another process has revision `number` in force.
+    /// Records that another process has revision `number` in force.
     [[nodiscard]] actions on_in_force_elsewhere(revision number);
 
-    /// The witness was asked in a datagram of this sequence.
+    /// Records the sequence number of the datagram that queried `witness`.
     void on_witness_queried(const std::string& witness, std::uint64_t sequence);
 
-    /// Answers a peer's `sync_request`; the members are left to the shell.
+    /// Returns the reply to a peer's `sync_request`; the caller fills in the
+    /// members.
     [[nodiscard]] sync_reply answer(const sync_request& request) const;
 
-    /// Repeats what was not answered; call it about twice a second.
+    /// Retries unanswered requests; to be called about twice a second.
     [[nodiscard]] actions tick(instant now);
 
   private:
-    /// A witness that was heard to hold the document, and is asked again.
+    /// Query to a witness that is reported to hold the document.
     struct confirmation {
-        std::uint64_t incarnation = 0; ///< That was heard to hold it.
-        std::uint64_t sequence = 0;    ///< Of the question; 0: not sent.
+        std::uint64_t incarnation = 0; ///< Incarnation in that report.
+        std::uint64_t sequence = 0;    ///< Of the query; 0: not sent.
         bool confirmed = false;
     };
-    /// Second round: the witnesses that were heard to hold a revision.
+    /// Second round: queries to the witnesses reported to hold a revision.
     struct confirmation_round {
         revision number = 0;
         std::map<std::string, confirmation> witnesses;
@@ -168,13 +176,13 @@
     process_role role_;
     std::set<std::string> witnesses_;
     std::mt19937_64 random_;
-    std::vector<std::string> neighbours_; ///< Peers to exchange with.
+    std::vector<std::string> neighbours_; ///< Peers to exchange documents with.
     std::shared_ptr<const rollout_document> highest_;
     std::string highest_json_;
     std::shared_ptr<const rollout_document> in_force_;
-    revision highest_reported_ = 0;   ///< Highest revision any peer named.
-    revision min_revision_ = 0;       ///< Least revision to put in force.
-    revision in_force_elsewhere_ = 0; ///< Highest that any peer has in force.
+    revision highest_reported_ = 0; ///< Highest revision reported or received.
+    revision min_revision_ = 0;     ///< Lowest revision to put in force.
+    revision in_force_elsewhere_ = 0; ///< Highest in force at any peer.
     std::optional<confirmation_round> round_;
     bool recovered_ = false;
     std::set<std::string>
--- a/include/ospreystage/rollout/configuration.hpp
+++ b/include/ospreystage/rollout/configuration.hpp
@@ -17,13 +17,14 @@
 
 namespace ospreystage {
 
-/// Service `configuration`: the register on the kernel thread, with its links
-/// to peers and to the platform's service.
+/// Service `configuration`: runs the `config_register` on the kernel thread and
+/// connects it to the peers and to the platform's key-value service.
 ///
-/// A starting process reads the key once. The first entries of a data centre
-/// (by name, `platform.watchers_per_data_centre` of them) watch the key and
-/// poll the list of VMs; the others hear of both by gossip. Construct it
-/// after `membership` and before `links::start`.
+/// A starting process reads the key of the accepted document, and retries
+/// until it has recovered. The first `platform.watchers_per_data_centre`
+/// entries of a data centre, in order of name, watch the key and poll the VM
+/// list; all other processes receive both by gossip. Construct after
+/// `membership` and before `links::start`.
 class configuration {
   public:
     using in_force_handler =
@@ -37,30 +38,32 @@
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Document in force here; null before the first one.
+    /// Returns the document in force on this process, or null.
     [[nodiscard]] std::shared_ptr<const rollout_document> document() const;
 
-    /// Highest document held, which may not be in force yet; or null.
+    /// Returns the highest document held, which may not be in force yet, or
+    /// null.
     [[nodiscard]] std::shared_ptr<const rollout_document> highest() const;
 
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Events ------------------------------------------------------------
 
-    /// Calls `handler` with every document that is put in force.
+    /// Registers `handler` for every document that is put in force.
     void on_in_force(in_force_handler handler);
 
-    /// Calls `handler` when the platform's service says that nothing was ever
-    /// accepted.
+    /// Registers `handler` for reads of the platform's key-value service that
+    /// find no accepted document.
     void on_nothing_accepted(std::function<void()> handler);
 
     // ---- Operations --------------------------------------------------------
 
-    /// Replaces the accepted document; `done` is called on the kernel thread.
+    /// Replaces the accepted document asynchronously; calls `done` on the
+    /// kernel thread.
     void accept(acceptance_request request, result_handler done);
 
-    /// Looks for the outcome of an earlier `accept` whose request was based on
-    /// `based_on`; `done` is called on the kernel thread.
+    /// Looks up the result of an earlier `accept` whose request was based on
+    /// `based_on`; calls `done` on the kernel thread.
     void resolve(const std::string& operation_id, revision based_on,
                  result_handler done);
 
@@ -93,8 +96,8 @@
     bool reading_ = false;
     std::optional<instant> poll_started_;
     bool polling_ = false;
-    std::string platform_problem_; ///< Last failure, empty after a success.
-    // Their threads post to this service, so they end before the rest of it.
+    std::string platform_problem_; ///< Last failure; empty after a success.
+    // Declared last, so destroyed first: their threads post to this service.
     std::unique_ptr<kv_watch> watch_;
     job_thread read_thread_;
     job_thread acceptance_thread_;
--- a/include/ospreystage/rollout/revision_report.hpp
+++ b/include/ospreystage/rollout/revision_report.hpp
@@ -7,12 +7,13 @@
 
 namespace ospreystage {
 
-/// What a peer's datagram tells of the configuration.
+/// Configuration revisions reported by a peer's datagram.
 struct revision_report {
     process_id peer;
-    revision document = 0; ///< Highest revision that the peer has.
+    revision document = 0; ///< Highest revision that the peer holds.
     std::vector<held_revision> held;
-    /// Sequence of this process's ping that it answers; 0 for a ping.
+    /// Sequence number of this process's ping that the datagram acknowledges; 0
+    /// if the datagram is itself a ping.
     std::uint64_t acked_sequence = 0;
 };
 
--- a/src/rollout/acceptance.cpp
+++ b/src/rollout/acceptance.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// Failed calls after which an acceptance gives up.
+/// Number of failed calls after which an acceptance gives up.
 constexpr int max_failures = 4;
 
-/// Wait after a failed call.
+/// Delay before the retry of a failed call.
 constexpr milliseconds retry_delay{200};
 
-/// Documents read at most to name who made the clashing changes.
+/// Number of revisions since the base up to which all of them are read to find
+/// who made the clashing changes.
 constexpr revision max_chain_length = 32;
 
 std::optional<rollout_document> parse(const std::string& json) {
@@ -30,7 +31,8 @@
 error error_of(const kv_reply& reply) {
     if (const auto* failure = std::get_if<error>(&reply))
         return *failure;
-    return {error_code::malformed, "acceptance", "", "unexpected reply"};
+    return {error_code::malformed, "acceptance", "",
+            "unexpected type of reply"};
 }
 
 kv_reply perform(const kv_client& client, const kv_read_call& call) {
@@ -84,7 +86,7 @@
     auto problems = validate(request_.draft);
     if (!problems.empty()) {
         rejected outcome{rejection::invalid,
-                         "the draft has problems",
+                         "the draft failed validation",
                          0,
                          std::move(problems),
                          {}};
@@ -114,7 +116,8 @@
         return acceptance_result(
             accepted{current_.number, current_entry_->value});
     if (request_.based_on > current_.number)
-        return reject(rejection::invalid, "based on an unknown revision");
+        return reject(rejection::invalid,
+                      "based_on is higher than the accepted revision");
     if (request_.based_on == current_.number)
         return start_write();
     if (request_.based_on > 0)
@@ -148,7 +151,8 @@
                          written_json_};
 }
 
-/// Reads the next document of the chain, or ends it with the current one.
+/// Reads the next document of the chain, or completes the chain with the
+/// current one.
 acceptance_step acceptance::read_chain(revision number) {
     const bool exceeds_max_length =
         current_.number - request_.based_on > max_chain_length &&
@@ -172,7 +176,7 @@
     const auto document =
         *entry ? parse((*entry)->value) : std::optional<rollout_document>();
     if (!document && at.number <= request_.based_on + 1)
-        return outcome_unknown("no readable document " +
+        return outcome_unknown("missing or malformed document at " +
                                history_key(at.number));
     if (document && document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, (*entry)->value});
@@ -183,7 +187,7 @@
 
 acceptance_step acceptance::on(const copying_history&, const kv_reply& reply) {
     if (const auto* failure = std::get_if<error>(&reply)) {
-        // The copy creates its key or changes nothing: repeating it is safe.
+        // Safe to retry: the copy either creates its key or changes nothing.
         if (failure->code != error_code::unknown_effect ||
             ++failures_ >= max_failures)
             return reject(rejection::unavailable, to_string(*failure));
@@ -221,14 +225,15 @@
     return decide_outcome(*entry);
 }
 
-/// Decides from what the key holds after a write that failed or was lost.
+/// Determines the next step from the stored document after a write that
+/// conflicted or whose effect is unknown.
 acceptance_step
 acceptance::decide_outcome(const std::optional<kv_entry>& entry) {
     const auto document =
         entry ? parse(entry->value) : std::optional(rollout_document());
     if (!document)
         return may_have_written_
-                   ? outcome_unknown("the stored document cannot be read")
+                   ? outcome_unknown("the stored document cannot be parsed")
                    : reject(rejection::damaged, current_rollout_key);
     if (document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, entry->value});
@@ -258,7 +263,7 @@
     const auto document =
         *entry ? parse((*entry)->value) : std::optional<rollout_document>();
     if (!document)
-        return outcome_unknown("no readable document " +
+        return outcome_unknown("missing or malformed document at " +
                                history_key(request_.based_on + 1));
     if (document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, (*entry)->value});
--- a/src/rollout/config_register.cpp
+++ b/src/rollout/config_register.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// Peers that a process passes a new document on to. They are always the same
-/// ones, so that the number of open connections does not grow.
+/// Number of peers to which a process forwards a new document. The set is
+/// stable, so that the number of open connections does not grow.
 constexpr std::size_t max_neighbours = 4;
 
-/// Time after which an unanswered `sync_request` is repeated.
+/// Time after which an unanswered `sync_request` is retried.
 constexpr milliseconds sync_retry_interval{1000};
 
-/// Time between routine exchanges; doubles from the first to the second.
+/// Bounds of the interval between periodic exchanges, which doubles each time
+/// from the minimum to the maximum.
 constexpr milliseconds min_sync_interval{1000};
 constexpr milliseconds max_sync_interval{32'000};
 
@@ -32,7 +33,7 @@
     : self_(std::move(self)), role_(role),
       witnesses_(witnesses.begin(), witnesses.end()), random_(seed),
       sync_interval_(min_sync_interval) {
-    // Revision 0 tells only that this incarnation exists.
+    // Revision 0 reports only that this incarnation exists.
     if (is_witness(self_.name))
         held_[self_.name] = {self_, 0};
 }
@@ -85,7 +86,7 @@
     if (!json.empty()) {
         const revision before = document();
         adopt_if_newer(json, "", out);
-        // A value that cannot be read proves nothing about its revision.
+        // A malformed value proves nothing about the accepted revision.
         if (document() == before && !out.empty())
             return out;
     }
@@ -179,7 +180,7 @@
     if (highest_reported_ > document())
         catch_up("", now, out);
     sync_periodically(now, out);
-    // Questions or answers of the last round may be lost.
+    // Queries or replies of the last round may have been lost.
     round_.reset();
     update_in_force(out);
     return out;
@@ -230,8 +231,9 @@
     }
 }
 
-/// Asks who told of a newer document if it is a neighbour or a witness, else
-/// one of those: connections to every peer would be too many.
+/// Requests the newer document from its reporter if that is a neighbour or a
+/// witness, otherwise from a random one of these: connections to every peer
+/// would be too many.
 void config_register::catch_up(const std::string& reporter, instant now,
                                actions& out) {
     const std::vector<std::string> known = sync_targets();
@@ -265,7 +267,8 @@
     return {names.begin(), names.end()};
 }
 
-/// Entries make sure of the witnesses; agents pass on to a few peers only.
+/// Forwards the held document to the neighbours. Entries also forward it to the
+/// witnesses that are not known to hold it.
 void config_register::fan_out(const std::string& from, actions& out) {
     std::set<std::string> targets;
     if (role_ == process_role::entry) {
@@ -321,8 +324,8 @@
     out.emplace_back(put_in_force{in_force_});
 }
 
-/// Begins the second round if the first one is complete: every question is
-/// asked after the last report was heard.
+/// Starts the second round if the first one is complete, so that every query is
+/// sent after the last report was received.
 void config_register::begin_confirmation(actions& out) {
     round_.reset();
     if (in_force_elsewhere_ >= document())
@@ -352,7 +355,7 @@
         found->second.incarnation != report.peer.incarnation)
         return;
     for (const held_revision& item : report.held) {
-        // A witness that is not recovered reports revision 0 for itself.
+        // An unrecovered witness reports revision 0 for itself.
         if (item.witness == report.peer && item.number >= round_->number)
             found->second.confirmed = true;
     }
--- a/src/rollout/configuration.cpp
+++ b/src/rollout/configuration.cpp
@@ -10,10 +10,10 @@
 
 constexpr const char* service_name = "configuration";
 
-/// Time between reads of a process that is not recovered.
+/// Interval between reads of the platform while the process is unrecovered.
 constexpr milliseconds read_interval{1000};
 
-/// A watch connection on which nothing arrives for this time is replaced.
+/// Time without data after which a watch connection is replaced.
 constexpr milliseconds watch_idle_timeout{5000};
 
 std::vector<std::string> witness_names(const settings& values) {
@@ -147,7 +147,8 @@
     if (is_watcher() == (watch_ != nullptr))
         return;
     if (watch_) {
-        // Its thread may be in a call: it ends on the thread for reads.
+        // The watch thread may be blocked in a call, so it is joined on the
+        // read thread.
         read_thread_.run(
             [watch = std::shared_ptr<kv_watch>(std::move(watch_))] {});
         return;
@@ -224,7 +225,8 @@
 }
 
 void configuration::apply(const config_register::actions& actions) {
-    // First, so that the datagrams which the actions send tell of it.
+    // Must come first, so that datagrams sent by the actions carry the current
+    // revisions.
     members_.set_revisions(register_.document(), register_.held());
     for (const register_action& action : actions)
         std::visit([this](const auto& known) { apply(known); }, action);
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -25,7 +25,7 @@
     return found == items.end() ? nullptr : &*found;
 }
 
-/// First problem of a document; later ones are dropped.
+/// Keeps the first problem of a document; later ones are dropped.
 class problem_recorder {
   public:
     void record(const std::string& field, const std::string& message) {
@@ -40,7 +40,7 @@
     std::optional<rollout_problem> first_;
 };
 
-/// Reads the fields of one JSON object and notes those nobody asked for.
+/// Reads the fields of one JSON object and reports unknown fields.
 class object_reader {
   public:
     object_reader(const json_value& object, std::string pointer,
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Reads a list of objects, each with `read_object(reader, item)`.
+    /// Reads a list of objects, calling `read_object(reader, item)` for each.
     template <typename Item, typename Reader>
     void read_objects(const char* name, std::vector<Item>& out,
                       Reader read_object) {
@@ -102,7 +102,7 @@
         problems_.record(path(name), message);
     }
 
-    /// Notes every field that was not read.
+    /// Reports every field that was not read.
     void finish() {
         if (!object_.is_object())
             return;
@@ -283,7 +283,8 @@
 leaf::result<rollout_document> parse_rollout(const std::string& json) {
     if (json.size() > max_document_bytes)
         return fail(error_code::too_large, "rollout.parse", "",
-                    std::to_string(json.size()) + " bytes of " +
+                    std::to_string(json.size()) +
+                        " bytes exceed the limit of " +
                         std::to_string(max_document_bytes));
     try {
         const auto parsed = json_value::parse(json);
--- a/src/rollout/rollout_checks.cpp
+++ b/src/rollout/rollout_checks.cpp
@@ -19,7 +19,7 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Checks one document and collects its problems.
+/// Validates one document and collects its problems.
 class document_check {
   public:
     explicit document_check(const rollout_document& document)
@@ -92,7 +92,7 @@
     void check_service_of(const deployment& item, const std::string& field) {
         const service* owner = document_.find_service(item.service);
         if (owner == nullptr) {
-            add(field + "/service", "no service " + item.service);
+            add(field + "/service", "unknown service " + item.service);
             return;
         }
         if (owner->kind == service_kind::plain)
@@ -107,11 +107,11 @@
     void check_base_of(const deployment& item, const std::string& field) {
         const deployment* base = document_.find_deployment(item.base);
         if (base == nullptr) {
-            add(field + "/base", "no deployment " + item.base);
+            add(field + "/base", "unknown deployment " + item.base);
             return;
         }
         if (!base->base.empty())
-            add(field + "/base", item.base + " is an adapter itself");
+            add(field + "/base", item.base + " is itself an adapter");
         if (base->service != item.service)
             add(field + "/base", item.base + " belongs to another service");
         for (std::size_t index = 0; index < item.vms.size(); ++index) {
@@ -131,7 +131,7 @@
             if (rule.organisation != every_organisation &&
                 document_.find_organisation(rule.organisation) == nullptr)
                 add(place + "/organisation",
-                    "no organisation " + rule.organisation);
+                    "unknown organisation " + rule.organisation);
             check_percent(item, rule, place + "/percent");
         }
     }
@@ -156,9 +156,9 @@
             const organisation& item = document_.organisations[index];
             const std::string field = "/organisations/" + std::to_string(index);
             if (item.weight == 0)
-                add(field + "/weight", "is 0");
+                add(field + "/weight", "must be greater than 0");
             if (item.name == every_organisation)
-                add(field + "/name", "* stands for every organisation");
+                add(field + "/name", "* is reserved for all organisations");
         }
     }
 
@@ -167,9 +167,9 @@
             const request_class& item = document_.classes[index];
             const std::string field = "/classes/" + std::to_string(index);
             if (item.deadline <= milliseconds::zero())
-                add(field + "/deadline_ms", "is 0");
+                add(field + "/deadline_ms", "must be greater than 0");
             if (item.first_token > item.deadline)
-                add(field + "/first_token_ms", "is after the deadline");
+                add(field + "/first_token_ms", "is longer than deadline_ms");
         }
     }
 
@@ -179,8 +179,8 @@
         percent_;
 };
 
-/// Turns lists of named items into objects, so that an item keeps its place
-/// in the pointer when others are added or removed.
+/// Converts a list of named items to an object, so that the JSON pointer of an
+/// item does not change when others are added or removed.
 json_value key_by(const json_value& list, const char* key) {
     json_value object = json_value::object();
     for (const json_value& item : list)
--- a/tests/acceptance.cpp
+++ b/tests/acceptance.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// What becomes of one call.
+/// Fault injected into one call.
 enum class fault {
     none,
-    unavailable,  ///< Refused: nothing was sent.
-    answer_lost,  ///< Takes effect, the answer is lost.
-    request_lost, ///< Never arrives, and nobody knows.
-    delayed,      ///< Arrives when the test lets it, and nobody knows.
+    unavailable,  ///< Fails; nothing was sent.
+    answer_lost,  ///< Takes effect, but its answer is lost.
+    request_lost, ///< Never arrives; the effect is unknown.
+    delayed,      ///< Arrives when the test delivers it; the effect is unknown.
 };
 
-/// Keys with compare-and-swap, and a fault for each of the next calls.
+/// Key-value store with compare-and-swap and a queue of faults, one for each of
+/// the next calls.
 class store {
   public:
     kv_reply perform(const kv_read_call& call) {
@@ -128,7 +129,7 @@
     return value;
 }
 
-/// A store in which revisions 1 to `count` were accepted.
+/// Returns a store in which revisions 1 to `count` were accepted.
 store store_with(revision count) {
     store keys;
     for (revision number = 0; number < count; ++number) {
@@ -173,7 +174,7 @@
     CHECK_FALSE(keys.find(history_key(3)).has_value());
 }
 
-TEST_CASE("acceptance - a lost answer that took effect is found by reading") {
+TEST_CASE("acceptance - a write whose answer is lost is found by a read") {
     store keys = store_with(1);
     keys.faults = {fault::none, fault::none, fault::answer_lost};
     const auto result = finish(acceptance(request(1, "op-2", "asha", 9)), keys);
@@ -182,7 +183,8 @@
     CHECK(keys.writes[current_rollout_key] == 2); // one for each revision
 }
 
-TEST_CASE("acceptance - a lost answer is found after the next acceptance too") {
+TEST_CASE("acceptance - a write whose answer is lost is found in the "
+          "history") {
     store keys = store_with(1);
     acceptance first(request(1, "op-2", "asha", 9));
     acceptance_step step = first.begin();
@@ -195,19 +197,20 @@
     CHECK(keys.document(current_rollout_key).operation_id == "op-3");
 }
 
-TEST_CASE("acceptance - a swallowed write is repeated after a read") {
+TEST_CASE("acceptance - a lost write is retried after a read") {
     store keys = store_with(1);
     keys.faults = {fault::none, fault::none, fault::request_lost};
     const auto result = finish(acceptance(request(1, "op-2", "asha", 9)), keys);
     CHECK(accepted_number(result) == 2);
 }
 
-TEST_CASE("acceptance - a late write and its repeat take effect once") {
+TEST_CASE("acceptance - a delayed write and its retry take effect once") {
     store keys = store_with(1);
     acceptance operation(request(1, "op-2", "asha", 9));
     acceptance_step step = operation.begin();
     keys.faults = {fault::none, fault::none, fault::delayed};
-    for (int calls = 0; calls < 4; ++calls) // the last one reads: unchanged
+    for (int calls = 0; calls < 4;
+         ++calls) // the last call reads the unchanged key
         step = advance(operation, step, keys);
     REQUIRE(std::holds_alternative<kv_write_call>(step));
     CHECK(std::holds_alternative<kv_written>(
@@ -216,7 +219,8 @@
     CHECK(keys.document(current_rollout_key).number == 2);
 }
 
-TEST_CASE("acceptance - a late write lands after another one: no effect") {
+TEST_CASE("acceptance - a delayed write after another acceptance has no "
+          "effect") {
     store keys = store_with(1);
     acceptance operation(request(1, "op-2", "asha", 9));
     acceptance_step step = operation.begin();
@@ -232,8 +236,8 @@
     CHECK(keys.document(current_rollout_key).operation_id == "op-x");
 }
 
-TEST_CASE("acceptance - the platform goes down after the write: not yet "
-          "known, then resolved") {
+TEST_CASE("acceptance - an outage after the write gives not_yet_known, "
+          "which is resolved later") {
     store keys = store_with(1);
     keys.faults = {fault::none,        fault::none,        fault::answer_lost,
                    fault::unavailable, fault::unavailable, fault::unavailable,
@@ -248,13 +252,13 @@
         finish(acceptance::resolve("op-2", 1), keys)));
     keys.faults.clear();
     CHECK(accepted_number(finish(acceptance::resolve("op-2", 1), keys)) == 2);
-    // The operator's repeat with the same id is accepted as the same one.
+    // A retry with the same id returns the same acceptance.
     CHECK(accepted_number(
               finish(acceptance(request(1, "op-2", "asha", 9)), keys)) == 2);
     CHECK(keys.document(current_rollout_key).number == 2);
 }
 
-TEST_CASE("acceptance - a repeat is recognised after later acceptances") {
+TEST_CASE("acceptance - a retry is recognised after later acceptances") {
     store keys = store_with(5);
     CHECK(accepted_number(
               finish(acceptance(request(1, "op-2", "shift-2", 2)), keys)) == 2);
@@ -262,7 +266,8 @@
     CHECK(keys.document(current_rollout_key).number == 5);
 }
 
-TEST_CASE("acceptance - resolving what may still arrive is not yet known") {
+TEST_CASE("acceptance - resolving a write that may still arrive gives "
+          "not_yet_known") {
     store keys = store_with(1);
     CHECK(std::holds_alternative<not_yet_known>(
         finish(acceptance::resolve("op-2", 1), keys)));
@@ -272,7 +277,8 @@
           rejection::outdated);
 }
 
-TEST_CASE("acceptance - of two racing operators one is told the clash") {
+TEST_CASE("acceptance - of two concurrent edits one is rejected with its "
+          "clash") {
     store keys = store_with(1);
     acceptance asha(request(1, "op-a", "asha", 7));
     acceptance ken(request(1, "op-k", "ken", 8));
@@ -293,7 +299,8 @@
     CHECK(keys.document(current_rollout_key).operation_id == "op-a");
 }
 
-TEST_CASE("acceptance - an outdated draft is told who changed its fields") {
+TEST_CASE("acceptance - an outdated draft is rejected with the author of "
+          "the clash") {
     store keys = store_with(4);
     acceptance_request late = request(2, "op-late", "ken", 2);
     late.draft.organisations[0].weight = 30;
@@ -301,7 +308,7 @@
     const auto result = finish(acceptance(late), keys);
     const rejected& outcome = rejection_of(result);
     CHECK(outcome.reason == rejection::outdated);
-    REQUIRE(outcome.clashes.size() == 1); // nobody else changed credit
+    REQUIRE(outcome.clashes.size() == 1); // no other edit changed credit
     CHECK(outcome.clashes[0] == rollout_clash{"/organisations/board/weight",
                                               "30", "4", "shift-4", 4});
     CHECK(keys.document(current_rollout_key).number == 4);
@@ -327,7 +334,7 @@
     CHECK(rejection_of(nameless).reason == rejection::invalid);
 }
 
-TEST_CASE("acceptance - a platform that is down before the write: rejected") {
+TEST_CASE("acceptance - an outage before the write rejects the draft") {
     store keys = store_with(1);
     keys.faults = {fault::unavailable};
     CHECK(rejection_of(finish(acceptance(request(1, "op-2", "asha", 9)), keys))
--- a/tests/config_register.cpp
+++ b/tests/config_register.cpp
@@ -10,7 +10,8 @@
 
 const std::vector<std::string> three_witnesses = {"w1", "w2", "w3"};
 
-/// What witness `name` tells of itself; `answers` is the question's sequence.
+/// Returns witness `name`'s report on itself; `acked_sequence` is that of the
+/// query.
 revision_report report(const std::string& name, revision number,
                        std::uint64_t acked_sequence = 0,
                        std::uint64_t incarnation = 1) {
@@ -18,7 +19,7 @@
     return {id, number, {{id, number}}, acked_sequence};
 }
 
-/// Witnesses that `actions` asks.
+/// Returns the witnesses that `actions` queries.
 std::vector<std::string>
 queried_witnesses(const config_register::actions& actions) {
     std::vector<std::string> names;
@@ -29,8 +30,8 @@
     return names;
 }
 
-/// An agent that holds revision 2 and was told that w1 and w2 hold it too;
-/// its questions to them have the sequences 11 and 12.
+/// Returns an agent that holds revision 2 and has received reports that w1 and
+/// w2 hold it too; its queries to them have the sequence numbers 11 and 12.
 config_register querying_agent() {
     config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(node.on_platform_read(json_of(2), instant()));
@@ -69,16 +70,16 @@
     CHECK(is_announced);
 }
 
-TEST_CASE("config_register - only an answer of the same incarnation to the "
-          "question confirms") {
+TEST_CASE("config_register - only a reply to the query from the same "
+          "incarnation confirms") {
     const instant now{};
     config_register node = querying_agent();
     static_cast<void>(node.on_revision_report(report("w1", 2, 11), now));
-    SECTION("the answer to an earlier ping does not") {
+    SECTION("the reply to an earlier ping does not") {
         static_cast<void>(node.on_revision_report(report("w2", 2, 10), now));
         CHECK(in_force(node) == 0);
     }
-    SECTION("a datagram that answers nothing does not") {
+    SECTION("a datagram that is not a reply does not") {
         static_cast<void>(node.on_revision_report(report("w2", 2), now));
         CHECK(in_force(node) == 0);
     }
@@ -86,22 +87,21 @@
         static_cast<void>(node.on_revision_report(report("w2", 2, 12, 2), now));
         CHECK(in_force(node) == 0);
     }
-    SECTION("a witness that reports nothing does not") {
+    SECTION("a witness that reports revision 0 does not") {
         static_cast<void>(node.on_revision_report(report("w2", 0, 12), now));
         CHECK(in_force(node) == 0);
     }
-    SECTION("a witness that was not asked does not") {
+    SECTION("a witness that was not queried does not") {
         static_cast<void>(node.on_revision_report(report("w3", 2, 12), now));
         CHECK(in_force(node) == 0);
     }
-    SECTION("the right answer does") {
+    SECTION("the expected reply does") {
         static_cast<void>(node.on_revision_report(report("w2", 2, 12), now));
         CHECK(in_force(node) == 2);
     }
 }
 
-TEST_CASE("config_register - a lost question is repeated, and its round "
-          "begins anew") {
+TEST_CASE("config_register - a lost query is retried in a new round") {
     const instant now{};
     config_register node = querying_agent();
     static_cast<void>(node.on_revision_report(report("w1", 2, 11), now));
@@ -109,12 +109,12 @@
     node.on_witness_queried("w1", 21);
     node.on_witness_queried("w2", 22);
     static_cast<void>(node.on_revision_report(report("w2", 2, 22), now));
-    CHECK(in_force(node) == 0); // w1 has to answer again
+    CHECK(in_force(node) == 0); // w1 must reply again in the new round
     static_cast<void>(node.on_revision_report(report("w1", 2, 21), now));
     CHECK(in_force(node) == 2);
 }
 
-TEST_CASE("config_register - a revision in force elsewhere needs no question") {
+TEST_CASE("config_register - a revision in force elsewhere needs no query") {
     config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(node.receive(push_of("a2", 2), instant()));
     static_cast<void>(node.on_in_force_elsewhere(2));
@@ -125,15 +125,15 @@
     CHECK(in_force(node) == 2);
 }
 
-TEST_CASE("config_register - what an earlier run of a witness held does not "
-          "count once its new run has recovered without it") {
+TEST_CASE("config_register - a revision held by an earlier incarnation of "
+          "a witness does not count after it restarts without it") {
     const instant now{};
     config_register w2({"w2", 1}, process_role::entry, three_witnesses, 1);
     config_register w3({"w3", 1}, process_role::entry, three_witnesses, 1);
     for (config_register* node : {&w2, &w3})
         static_cast<void>(node->on_platform_read(json_of(1), now));
-    // w1 held revision 2 and told only a1, then restarted with nothing and
-    // recovered from w2 and w3, which did not have revision 2 yet.
+    // w1 held revision 2 and reported it only to a1, then restarted without
+    // state and recovered from w2 and w3, which did not hold revision 2 yet.
     config_register a1({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(a1.on_platform_read(json_of(2), now));
     static_cast<void>(a1.on_revision_report(report("w1", 2), now));
@@ -142,7 +142,7 @@
         static_cast<void>(w1.receive(node->answer({{"w1", 2}, 0}), now));
     REQUIRE(w1.recovered());
     REQUIRE(w1.document() == 1);
-    // w2 gets revision 2 now: one witness of three holds it.
+    // w2 receives revision 2: one witness of three holds it.
     static_cast<void>(w2.receive(push_of("a1", 2), now));
     CHECK(
         queried_witnesses(a1.on_revision_report(report("w2", 2), now)).size() ==
@@ -154,13 +154,14 @@
     static_cast<void>(
         a1.on_revision_report({{"w2", 1}, w2.document(), w2.held(), 12}, now));
     CHECK(in_force(a1) == 0);
-    // So a process that starts and hears w1 and w3 misses nothing in force.
+    // A process that recovers from w1 and w3 therefore misses no revision that
+    // is in force.
     config_register a2({"a2", 1}, process_role::agent, three_witnesses, 1);
     for (config_register* node : {&w1, &w3})
         static_cast<void>(a2.receive(node->answer({{"a2", 1}, 0}), now));
     REQUIRE(a2.recovered());
     CHECK(in_force(a2) <= 1);
-    // The new run counts as soon as it holds the document itself.
+    // The new incarnation counts as soon as it holds the document itself.
     static_cast<void>(w1.receive(push_of("w2", 2), now));
     static_cast<void>(a1.on_revision_report({{"w1", 2}, 2, w1.held(), 0}, now));
     REQUIRE(queried_witnesses(a1.tick(now)).size() == 2);
@@ -173,8 +174,8 @@
     CHECK(in_force(a1) == 2);
 }
 
-TEST_CASE("config_register - a process that heard of a higher revision waits "
-          "for it") {
+TEST_CASE("config_register - a process waits for the highest revision "
+          "reported before it recovered") {
     const instant now{};
     config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     static_cast<void>(node.receive(push_of("a2", 1), now));
@@ -182,7 +183,7 @@
         sync_reply reply;
         reply.sender = {name, 1};
         reply.recovered = true;
-        reply.document = 2; // its text is lost on the way
+        reply.document = 2; // the document itself is missing
         reply.held = {{{"w1", 1}, 2}, {{"w2", 1}, 2}};
         static_cast<void>(node.receive(reply, now));
     }
@@ -193,7 +194,8 @@
     CHECK(in_force(node) == 2);
 }
 
-TEST_CASE("config_register - a damaged document is refused with its peer") {
+TEST_CASE("config_register - a malformed document is refused and names its "
+          "peer") {
     config_register node({"a1", 1}, process_role::agent, three_witnesses, 1);
     document_push push = push_of("a2", 4);
     push.json = "{\"schema\":\"other\"}";
@@ -203,7 +205,7 @@
     REQUIRE(refused != nullptr);
     CHECK(refused->reason.peer == "a2");
     CHECK(node.document() == 0);
-    // A damaged value of the platform recovers nothing.
+    // A malformed value from the platform does not complete recovery.
     static_cast<void>(node.on_platform_read("{}", instant()));
     CHECK_FALSE(node.recovered());
 }
--- a/tests/config_spread.cpp
+++ b/tests/config_spread.cpp
@@ -18,7 +18,8 @@
     return 0;
 }
 
-/// Three witnesses and two agents that have all read an empty platform.
+/// Returns three witnesses and two agents that have all read an empty key from
+/// the platform.
 register_group started_group() {
     register_group all;
     for (const char* name : {"w1", "w2", "w3"})
@@ -32,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("config_spread - nothing accepted means nothing in force") {
+TEST_CASE("config_spread - nothing is in force before the first acceptance") {
     register_group all = started_group();
     all.gossip();
     CHECK(all.at("w1").recovered());
@@ -52,7 +53,7 @@
     all.add("w1", process_role::entry, {"w1"});
     all.add("a1", process_role::agent, {"w1"});
     all.apply("a1", all.at("a1").tick(all.now));
-    CHECK_FALSE(all.at("a1").recovered()); // the witness is not recovered
+    CHECK_FALSE(all.at("a1").recovered()); // the witness itself is unrecovered
     all.apply("w1", all.at("w1").on_platform_read(json_of(3), all.now));
     CHECK(in_force(all.at("w1")) == 3);
     all.gossip();
@@ -61,7 +62,7 @@
     CHECK(in_force(all.at("a1")) == 3);
 }
 
-TEST_CASE("config_spread - what is in force never goes down") {
+TEST_CASE("config_spread - the revision in force never decreases") {
     register_group all = started_group();
     for (const revision number : {1U, 2U, 3U})
         all.apply("w1", all.at("w1").on_accepted(json_of(number)));
@@ -74,7 +75,7 @@
     CHECK(all.at("a1").document() == 3);
 }
 
-TEST_CASE("config_spread - a push that went to some is repaired by gossip") {
+TEST_CASE("config_spread - gossip delivers a push that some peers missed") {
     register_group all = started_group();
     all.passes = [](const std::string&, const std::string& to) {
         return to != "a2";
@@ -87,12 +88,12 @@
     CHECK(all.count_in_force(1) == 5);
 }
 
-TEST_CASE("config_spread - a node restarts with nothing, the platform is "
-          "down and its nearest peer is behind") {
+TEST_CASE("config_spread - a node restarts without state while the "
+          "platform is down and its nearest peer is outdated") {
     register_group all = started_group();
     all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
-    // Revision 2 reaches everybody but a2, the peer that stands nearest.
+    // Revision 2 reaches every process but a2, the nearest peer of a1.
     all.passes = [](const std::string& from, const std::string& to) {
         return from != "a2" && to != "a2";
     };
@@ -108,7 +109,7 @@
     for (int round = 0; round < 5; ++round)
         all.gossip();
     CHECK(all.at("a1").document() <= 1);
-    CHECK(in_force(all.at("a1")) == 0); // better nothing than revision 1
+    CHECK(in_force(all.at("a1")) == 0); // must not fall back to revision 1
 
     all.passes = [](const std::string&, const std::string& to) {
         return to != "w2"; // a majority is enough
@@ -118,8 +119,8 @@
     CHECK(in_force(all.at("a1")) == 2);
 }
 
-TEST_CASE("config_spread - a restarted witness reports nothing before it "
-          "has heard from a majority of the others") {
+TEST_CASE("config_spread - a restarted witness reports nothing before a "
+          "majority of recovered witnesses has replied") {
     register_group all = started_group();
     all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
@@ -146,7 +147,7 @@
     CHECK(all.count_in_force(1) == 5);
 }
 
-TEST_CASE("config_spread - an entry paused for a minute comes back") {
+TEST_CASE("config_spread - an entry isolated for a minute catches up") {
     register_group all = started_group();
     all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
@@ -159,7 +160,7 @@
         all.gossip();
     REQUIRE(in_force(all.at("w3")) == 1);
     all.passes = [](const std::string&, const std::string&) { return true; };
-    // It pushes its old document first.
+    // w3 pushes its outdated document first.
     all.apply("w3", {push_document{"a1", push_of("w3", 1)}});
     CHECK(in_force(all.at("a1")) == 3);
     all.gossip();
@@ -178,7 +179,7 @@
     all.passes = [&](const std::string& from, const std::string& to) {
         return is_left(from) == is_left(to);
     };
-    // The operator's entry is on the small side; the platform is reachable.
+    // The operator's entry is on the minority side; the platform is reachable.
     all.apply("w3", all.at("w3").on_accepted(json_of(2)));
     for (int round = 0; round < 10; ++round)
         all.gossip();
@@ -203,5 +204,5 @@
     for (int index = 0; index < 192; ++index)
         reached += all.at("a" + std::to_string(index)).document();
     CAPTURE(reached);
-    CHECK(reached > 185); // gossip repairs the rest
+    CHECK(reached > 185); // gossip reaches the rest
 }
--- a/tests/configuration.cpp
+++ b/tests/configuration.cpp
@@ -102,7 +102,7 @@
     configuration* configuration_ = nullptr;
 };
 
-/// Three entries, which are the witnesses, and two agents.
+/// Cluster of three entries, which are the witnesses, and two agents.
 class control_plane {
   public:
     control_plane() : kv({"kv"}), vms({"vms", "--lag-ms", "0"}) {
@@ -128,7 +128,7 @@
 
     control_node& at(const std::string& name) { return *nodes_.at(name); }
 
-    /// Counts the processes that watch the platform's service.
+    /// Returns the number of processes that watch the platform's service.
     std::size_t watchers() {
         std::size_t count = 0;
         for (auto& [name, node] : nodes_)
@@ -141,7 +141,8 @@
                            [&](auto& item) { return predicate(*item.second); });
     }
 
-    /// Waits until `holds` is true for every process.
+    /// Waits until `predicate` is true for every process; returns false if
+    /// `timeout` passes first.
     bool await(const std::function<bool(control_node&)>& predicate,
                milliseconds timeout) {
         const instant deadline = steady::now() + timeout;
@@ -201,7 +202,7 @@
 } // namespace
 
 TEST_CASE("configuration - an accepted document is in force everywhere within "
-          "seconds, though the platform goes down right after the write") {
+          "seconds although the platform goes down right after the write") {
     control_plane system;
     REQUIRE(system.await_ready());
     CHECK(is_accepted(system.at("e2").accept(0, "op-1"), 1));
@@ -213,14 +214,15 @@
     control_plane system;
     REQUIRE(system.await_ready());
     REQUIRE(is_accepted(system.at("e2").accept(0, "op-1"), 1));
-    // The first write of the next acceptance copies the history.
+    // Two writes: the copy to the history key, then the document itself.
     system.kv.post("/control/faults", {{"lose_answers", 2}});
     CHECK(is_accepted(system.at("e3").accept(1, "op-2"), 2));
     CHECK(system.await_in_force(2, seconds(5)));
 }
 
-TEST_CASE("configuration - processes restart with nothing while the platform "
-          "is down") {
+TEST_CASE(
+    "configuration - processes recover after a restart without state while "
+    "the platform is down") {
     control_plane system;
     REQUIRE(system.await_ready());
     REQUIRE(is_accepted(system.at("e1").accept(0, "op-1"), 1));
@@ -234,7 +236,7 @@
     CHECK(system.await_in_force(1, seconds(10)));
 }
 
-TEST_CASE("configuration - a platform that answers nothing delays neither "
+TEST_CASE("configuration - a platform that does not answer delays neither "
           "start nor gossip") {
     control_plane system;
     REQUIRE(system.await_ready());
@@ -244,18 +246,18 @@
     system.start("a2");
     CHECK(system.await_in_force(1, seconds(10)));
     CHECK(std::holds_alternative<rejected>(
-        system.at("e1").accept(1, "op-2"))); // the first read gets no answer
-    // Ends the calls that hang in the stand-in.
+        system.at("e1").accept(1, "op-2"))); // the first read times out
+    // Ends the calls that are still pending in the stand-in.
     system.kv.post("/control/faults", {{"down", true}});
 }
 
-TEST_CASE("configuration - a change in the platform is seen by watch") {
+TEST_CASE("configuration - a change in the platform is detected by the watch") {
     control_plane system;
     REQUIRE(system.await_ready());
     rollout_document document;
     document.number = 7;
     document.operation_id = "op-7";
-    // Written by an entry that died before it told anybody.
+    // As if written by an entry that crashed before it pushed the document.
     const kv_client client(system.kv.url(), milliseconds(500));
     error failure;
     REQUIRE(value_or_error(
@@ -267,8 +269,9 @@
     CHECK(system.await_in_force(7, seconds(4)));
 }
 
-TEST_CASE("configuration - leaving by signal or by list ends new work within "
-          "3 s") {
+TEST_CASE(
+    "configuration - a member that leaves by signal or by VM list gets no "
+    "new work after 3 s") {
     control_plane system;
     REQUIRE(system.await_ready());
     system.at("e2").set_leaving();
@@ -285,7 +288,7 @@
 }
 
 TEST_CASE("configuration - the first entries of a data centre watch, and "
-          "another one takes over") {
+          "another one takes over from a stopped one") {
     control_plane system;
     REQUIRE(system.await_ready());
     const auto only_two = [&](control_node&) {
--- a/tests/rollout.cpp
+++ b/tests/rollout.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("rollout - a document survives encoding and decoding") {
+TEST_CASE("rollout - encoding and decoding preserve a document") {
     const rollout_document document = sample();
     error failure;
     const auto copy = value_or_error(
@@ -93,7 +93,8 @@
     CHECK(parse_error_detail("{}").starts_with("/schema: "));
 }
 
-TEST_CASE("rollout - a text above the limit is refused before parsing") {
+TEST_CASE("rollout - a document above the size limit is refused before "
+          "parsing") {
     error failure;
     const auto document = value_or_error(
         [&] { return parse_rollout(std::string(max_document_bytes + 1, ' ')); },
@@ -183,7 +184,7 @@
               {"/deployments/desk-v1/traffic/board/percent", "60", "50"}});
 }
 
-TEST_CASE("rollout - a diff addresses items by name, not by position") {
+TEST_CASE("rollout - a diff addresses items by name, not by index") {
     const rollout_document before = sample();
     rollout_document after = before;
     after.services.insert(after.services.begin(),
--- a/tests/support/register_group.hpp
+++ b/tests/support/register_group.hpp
@@ -15,41 +15,43 @@
 /// Returns a document of revision `number` as JSON.
 [[nodiscard]] std::string json_of(revision number);
 
-/// Returns a push of that document.
+/// Returns a push of the document of revision `number`.
 [[nodiscard]] document_push push_of(const std::string& sender, revision number);
 
 /// Returns the revision in force; 0 if there is none.
 [[nodiscard]] revision in_force(const config_register& node);
 
-/// Registers whose messages are delivered at once, in simulated time.
+/// Group of registers that exchange messages without delay in simulated time.
 class register_group {
   public:
-    /// Starts a process, or starts it anew with nothing.
+    /// Starts a process, or restarts it without state.
     void add(const std::string& name, process_role role,
              const std::vector<std::string>& witnesses,
              std::uint64_t incarnation = 1);
 
-    /// Tells every process the names of all.
+    /// Sets the names of all processes as the peers of each.
     void update_peers();
 
     [[nodiscard]] config_register& at(const std::string& name) {
         return nodes_.at(name);
     }
 
-    /// Delivers what `actions` of `from` send, and what follows from that.
+    /// Delivers the messages that `actions` of `from` send, and all messages
+    /// that result from them.
     void apply(const std::string& from,
                const config_register::actions& actions);
 
-    /// Every process hears the datagrams of every other one, then ticks.
+    /// Advances the time by 1 s, delivers every process's report to every other
+    /// one, then ticks each.
     void gossip();
 
-    /// Counts the processes that have `number` in force.
+    /// Returns the number of processes that have `number` in force.
     [[nodiscard]] std::size_t count_in_force(revision number) const;
 
-    bool auto_update_peers =
-        true; ///< `add` tells every process the names of all.
+    /// Whether `add` calls `update_peers`.
+    bool auto_update_peers = true;
     instant now = instant() + std::chrono::hours(1);
-    /// Returns whether a message from the first to the second arrives.
+    /// Returns whether a message from the first process reaches the second.
     std::function<bool(const std::string&, const std::string&)> passes =
         [](const std::string&, const std::string&) { return true; };
 
--- a/tests/support/revision_monitor.hpp
+++ b/tests/support/revision_monitor.hpp
@@ -16,40 +16,42 @@
 
 namespace ospreystage::support {
 
-/// Polls the state dump of every process of a fleet, one thread each.
+/// Polls the state dump of every process of a fleet, with one thread for each.
 ///
-/// Records when each revision was first seen in force, and whether a process
-/// had a lower one in force than it or its predecessor of the same name. A
-/// process with nothing in force does not count as lower.
+/// Records when each revision was first seen in force, and how often the
+/// revision in force of a process was lower than the highest one seen for that
+/// name, including earlier incarnations. A process with nothing in force does
+/// not count as lower.
 class revision_monitor {
   public:
-    /// Starts to poll; `system` has been started and outlives the monitor.
+    /// Starts polling; `system` must be started and must outlive the monitor.
     revision_monitor(const fleet& system, milliseconds interval);
     ~revision_monitor();
     revision_monitor(const revision_monitor&) = delete;
     revision_monitor& operator=(const revision_monitor&) = delete;
 
-    /// Stops or resumes polling, which itself costs the processes time.
+    /// Pauses or resumes polling, which adds load to the processes.
     void set_paused(bool paused) { paused_ = paused; }
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Returns when `name` was first seen with `number` or a higher revision,
-    /// at `after` or later; nothing if it was not.
+    /// Returns the first time, at or after `after`, at which `name` was seen
+    /// with `number` or a higher revision in force, if any.
     [[nodiscard]] std::optional<instant>
     seen(const std::string& name, revision number, instant after) const;
 
-    /// Waits until every process of `names` was seen with `number` at `after`
-    /// or later; returns false if `timeout` passes first.
+    /// Waits until every process of `names` was seen with `number` or a higher
+    /// revision at or after `after`; returns false if `timeout` passes first.
     [[nodiscard]] bool await(const std::vector<std::string>& names,
                              revision number, instant after,
                              milliseconds timeout) const;
 
-    /// Returns how often a lower revision was seen in force than before.
+    /// Returns the number of polls that saw a lower revision in force than the
+    /// highest one before.
     [[nodiscard]] std::uint64_t reverted() const;
 
-    /// Returns the bytes that a process sent to its peers, added up over the
-    /// incarnations, between the first and the last poll of each.
+    /// Returns the bytes that a process sent to its peers between the first and
+    /// the last poll of each incarnation, summed over the incarnations.
     [[nodiscard]] std::uint64_t sent_bytes(const std::string& name) const;
 
   private:
