--- a/src/rollout/acceptance.cpp
+++ b/src/rollout/acceptance.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-/// Failed calls after which an acceptance gives up.
+/// Number of failed calls after which an acceptance gives up.
 constexpr int max_failures = 4;
 
-/// Wait after a failed call.
+/// Delay before the retry of a failed call.
 constexpr milliseconds retry_delay{200};
 
-/// Documents read at most to name who made the clashing changes.
-constexpr revision max_chain = 32;
+/// Number of revisions since the base up to which all of them are read to find
+/// who made the clashing changes.
+constexpr revision max_chain_length = 32;
 
 std::optional<rollout_document> parse(const std::string& json) {
     error ignored;
     return value_or_error([&] { return parse_rollout(json); }, ignored);
 }
 
-const std::optional<kv_entry>* reading_of(const kv_reply& reply) {
+const std::optional<kv_entry>* entry_in(const kv_reply& reply) {
     const auto* reading = std::get_if<kv_reading>(&reply);
     return reading == nullptr ? nullptr : &reading->entry;
 }
@@ -30,7 +31,8 @@
 error error_of(const kv_reply& reply) {
     if (const auto* failure = std::get_if<error>(&reply))
         return *failure;
-    return {error_code::malformed, "acceptance", "", "unexpected reply"};
+    return {error_code::malformed, "acceptance", "",
+            "unexpected type of reply"};
 }
 
 kv_reply perform(const kv_client& client, const kv_read_call& call) {
@@ -69,7 +71,7 @@
     request.operation_id = std::move(operation_id);
     request.based_on = based_on;
     acceptance operation(std::move(request));
-    operation.reads_only_ = true;
+    operation.read_only_ = true;
     operation.may_have_written_ = true;
     return operation;
 }
@@ -77,14 +79,14 @@
 acceptance_step acceptance::begin() {
     if (request_.operation_id.empty())
         return reject(rejection::invalid, "the operation id is empty");
-    if (reads_only_) {
+    if (read_only_) {
         state_ = checking_current{};
         return kv_read_call{current_rollout_key};
     }
     auto problems = validate(request_.draft);
     if (!problems.empty()) {
         rejected outcome{rejection::invalid,
-                         "the draft has problems",
+                         "the draft failed validation",
                          0,
                          std::move(problems),
                          {}};
@@ -100,7 +102,7 @@
 }
 
 acceptance_step acceptance::on(const reading_current&, const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr)
         return reject(rejection::unavailable, to_string(error_of(reply)));
     current_entry_ = *entry;
@@ -114,7 +116,8 @@
         return acceptance_result(
             accepted{current_.number, current_entry_->value});
     if (request_.based_on > current_.number)
-        return reject(rejection::invalid, "based on an unknown revision");
+        return reject(rejection::invalid,
+                      "based_on is higher than the accepted revision");
     if (request_.based_on == current_.number)
         return start_write();
     if (request_.based_on > 0)
@@ -148,11 +151,13 @@
                          written_json_};
 }
 
-/// Reads the next document of the chain, or ends it with the current one.
+/// Reads the next document of the chain, or completes the chain with the
+/// current one.
 acceptance_step acceptance::read_chain(revision number) {
-    const bool is_long = current_.number - request_.based_on > max_chain &&
-                         number > request_.based_on + 1;
-    if (number >= current_.number || is_long) {
+    const bool exceeds_max_length =
+        current_.number - request_.based_on > max_chain_length &&
+        number > request_.based_on + 1;
+    if (number >= current_.number || exceeds_max_length) {
         chain_.push_back(current_);
         return reject_outdated();
     }
@@ -162,16 +167,17 @@
 
 acceptance_step acceptance::on(const reading_history& at,
                                const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr) {
         if (++failures_ >= max_failures)
-            return unknown(to_string(error_of(reply)));
+            return outcome_unknown(to_string(error_of(reply)));
         return kv_read_call{history_key(at.number)};
     }
     const auto document =
         *entry ? parse((*entry)->value) : std::optional<rollout_document>();
     if (!document && at.number <= request_.based_on + 1)
-        return unknown("no readable document " + history_key(at.number));
+        return outcome_unknown("missing or malformed document at " +
+                               history_key(at.number));
     if (document && document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, (*entry)->value});
     if (document)
@@ -181,7 +187,7 @@
 
 acceptance_step acceptance::on(const copying_history&, const kv_reply& reply) {
     if (const auto* failure = std::get_if<error>(&reply)) {
-        // The copy creates its key or changes nothing: repeating it is safe.
+        // Safe to retry: the copy either creates its key or changes nothing.
         if (failure->code != error_code::unknown_effect ||
             ++failures_ >= max_failures)
             return reject(rejection::unavailable, to_string(*failure));
@@ -196,36 +202,38 @@
         return acceptance_result(
             accepted{request_.based_on + 1, written_json_});
     if (const auto* conflict = std::get_if<kv_conflict>(&reply))
-        return judge(conflict->current);
+        return decide_outcome(conflict->current);
     const error failure = error_of(reply);
     if (failure.code == error_code::unknown_effect)
         may_have_written_ = true;
-    return check(failure);
+    return check_after_failure(failure);
 }
 
-acceptance_step acceptance::check(const error& failure) {
+acceptance_step acceptance::check_after_failure(const error& failure) {
     if (!may_have_written_)
         return reject(rejection::unavailable, to_string(failure));
     if (++failures_ >= max_failures)
-        return unknown(to_string(failure));
+        return outcome_unknown(to_string(failure));
     state_ = checking_current{};
     return kv_read_call{current_rollout_key};
 }
 
 acceptance_step acceptance::on(const checking_current&, const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr)
-        return check(error_of(reply));
-    return judge(*entry);
+        return check_after_failure(error_of(reply));
+    return decide_outcome(*entry);
 }
 
-/// Decides from what the key holds after a write that failed or was lost.
-acceptance_step acceptance::judge(const std::optional<kv_entry>& entry) {
+/// Determines the next step from the stored document after a write that
+/// conflicted or whose effect is unknown.
+acceptance_step
+acceptance::decide_outcome(const std::optional<kv_entry>& entry) {
     const auto document =
         entry ? parse(entry->value) : std::optional(rollout_document());
     if (!document)
         return may_have_written_
-                   ? unknown("the stored document cannot be read")
+                   ? outcome_unknown("the stored document cannot be parsed")
                    : reject(rejection::damaged, current_rollout_key);
     if (document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, entry->value});
@@ -239,24 +247,24 @@
         chain_.push_back(current_);
         return reject_outdated();
     }
-    const bool is_unchanged = entry == current_entry_ && !reads_only_;
+    const bool is_unchanged = entry == current_entry_ && !read_only_;
     if (is_unchanged && ++failures_ < max_failures)
         return write_current();
-    return unknown("the write has not taken effect yet");
+    return outcome_unknown("the write has not taken effect yet");
 }
 
 acceptance_step acceptance::on(const checking_history&, const kv_reply& reply) {
-    const auto* entry = reading_of(reply);
+    const auto* entry = entry_in(reply);
     if (entry == nullptr) {
         if (++failures_ >= max_failures)
-            return unknown(to_string(error_of(reply)));
+            return outcome_unknown(to_string(error_of(reply)));
         return kv_read_call{history_key(request_.based_on + 1)};
     }
     const auto document =
         *entry ? parse((*entry)->value) : std::optional<rollout_document>();
     if (!document)
-        return unknown("no readable document " +
-                       history_key(request_.based_on + 1));
+        return outcome_unknown("missing or malformed document at " +
+                               history_key(request_.based_on + 1));
     if (document->operation_id == request_.operation_id)
         return acceptance_result(accepted{document->number, (*entry)->value});
     chain_.push_back(*document);
@@ -270,7 +278,7 @@
     outcome.detail = "revision " + std::to_string(current_.number) + " of " +
                      current_.accepted_by + " is accepted";
     outcome.current = current_.number;
-    if (!reads_only_)
+    if (!read_only_)
         outcome.clashes = find_clashes(chain_, request_.draft);
     return acceptance_result(std::move(outcome));
 }
@@ -280,7 +288,7 @@
         rejected{reason, std::move(detail), current_.number, {}, {}});
 }
 
-acceptance_step acceptance::unknown(std::string detail) {
+acceptance_step acceptance::outcome_unknown(std::string detail) {
     return acceptance_result(
         not_yet_known{request_.operation_id, std::move(detail)});
 }
--- a/src/rollout/rollout_checks.cpp
+++ b/src/rollout/rollout_checks.cpp
@@ -12,14 +12,14 @@
 
 using json_value = nlohmann::json;
 
-constexpr std::uint32_t whole_percent = 100;
+constexpr std::uint32_t max_percent = 100;
 constexpr const char* every_organisation = "*";
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Checks one document and collects its problems.
+/// Validates one document and collects its problems.
 class document_check {
   public:
     explicit document_check(const rollout_document& document)
@@ -92,7 +92,7 @@
     void check_service_of(const deployment& item, const std::string& field) {
         const service* owner = document_.find_service(item.service);
         if (owner == nullptr) {
-            add(field + "/service", "no service " + item.service);
+            add(field + "/service", "unknown service " + item.service);
             return;
         }
         if (owner->kind == service_kind::plain)
@@ -107,11 +107,11 @@
     void check_base_of(const deployment& item, const std::string& field) {
         const deployment* base = document_.find_deployment(item.base);
         if (base == nullptr) {
-            add(field + "/base", "no deployment " + item.base);
+            add(field + "/base", "unknown deployment " + item.base);
             return;
         }
         if (!base->base.empty())
-            add(field + "/base", item.base + " is an adapter itself");
+            add(field + "/base", item.base + " is itself an adapter");
         if (base->service != item.service)
             add(field + "/base", item.base + " belongs to another service");
         for (std::size_t index = 0; index < item.vms.size(); ++index) {
@@ -131,21 +131,21 @@
             if (rule.organisation != every_organisation &&
                 document_.find_organisation(rule.organisation) == nullptr)
                 add(place + "/organisation",
-                    "no organisation " + rule.organisation);
+                    "unknown organisation " + rule.organisation);
             check_percent(item, rule, place + "/percent");
         }
     }
 
     void check_percent(const deployment& item, const traffic_rule& rule,
                        const std::string& field) {
-        if (rule.percent > whole_percent) {
+        if (rule.percent > max_percent) {
             add(field, "is above 100");
             return;
         }
         std::uint32_t& sum = percent_[{item.service, rule.organisation}];
-        const bool was_whole = sum <= whole_percent;
+        const bool was_within_limit = sum <= max_percent;
         sum += rule.percent;
-        if (was_whole && sum > whole_percent)
+        if (was_within_limit && sum > max_percent)
             add(field, "the sum for " + rule.organisation + " at " +
                            item.service + " is above 100");
     }
@@ -156,9 +156,9 @@
             const organisation& item = document_.organisations[index];
             const std::string field = "/organisations/" + std::to_string(index);
             if (item.weight == 0)
-                add(field + "/weight", "is 0");
+                add(field + "/weight", "must be greater than 0");
             if (item.name == every_organisation)
-                add(field + "/name", "* stands for every organisation");
+                add(field + "/name", "* is reserved for all organisations");
         }
     }
 
@@ -167,9 +167,9 @@
             const request_class& item = document_.classes[index];
             const std::string field = "/classes/" + std::to_string(index);
             if (item.deadline <= milliseconds::zero())
-                add(field + "/deadline_ms", "is 0");
+                add(field + "/deadline_ms", "must be greater than 0");
             if (item.first_token > item.deadline)
-                add(field + "/first_token_ms", "is after the deadline");
+                add(field + "/first_token_ms", "is longer than deadline_ms");
         }
     }
 
@@ -179,8 +179,8 @@
         percent_;
 };
 
-/// Turns lists of named items into objects, so that an item keeps its place
-/// in the pointer when others are added or removed.
+/// Converts a list of named items to an object, so that the JSON pointer of an
+/// item does not change when others are added or removed.
 json_value key_by(const json_value& list, const char* key) {
     json_value object = json_value::object();
     for (const json_value& item : list)
@@ -188,7 +188,7 @@
     return object;
 }
 
-json_value comparable(const rollout_document& document) {
+json_value to_keyed_json(const rollout_document& document) {
     const auto json = json_value::parse(to_json_text(document));
     json_value keyed;
     for (const char* list :
@@ -199,9 +199,9 @@
     return keyed;
 }
 
-void collect(const json_value& before, const json_value& after,
-             const json_value::json_pointer& field,
-             std::vector<rollout_change>& changes) {
+void collect_changes(const json_value& before, const json_value& after,
+                     const json_value::json_pointer& field,
+                     std::vector<rollout_change>& changes) {
     if (before == after)
         return;
     if (!before.is_object() || !after.is_object()) {
@@ -213,8 +213,8 @@
     json_value names = before;
     names.update(after);
     for (const auto& [name, unused] : names.items())
-        collect(before.value(name, json_value()),
-                after.value(name, json_value()), field / name, changes);
+        collect_changes(before.value(name, json_value()),
+                        after.value(name, json_value()), field / name, changes);
 }
 
 } // namespace
@@ -226,8 +226,8 @@
 std::vector<rollout_change> diff(const rollout_document& before,
                                  const rollout_document& after) {
     std::vector<rollout_change> changes;
-    collect(comparable(before), comparable(after), json_value::json_pointer(),
-            changes);
+    collect_changes(to_keyed_json(before), to_keyed_json(after),
+                    json_value::json_pointer(), changes);
     return changes;
 }
 
--- a/tests/config_spread.cpp
+++ b/tests/config_spread.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const std::vector<std::string> three = {"w1", "w2", "w3"};
+const std::vector<std::string> three_witnesses = {"w1", "w2", "w3"};
 
 revision held_at(const config_register& node, const std::string& witness) {
     for (const held_revision& item : node.held()) {
@@ -18,13 +18,14 @@
     return 0;
 }
 
-/// Three witnesses and two agents that have all read an empty platform.
+/// Returns three witnesses and two agents that have all read an empty key from
+/// the platform.
 register_group started_group() {
     register_group all;
     for (const char* name : {"w1", "w2", "w3"})
-        all.add(name, process_role::entry, three);
+        all.add(name, process_role::entry, three_witnesses);
     for (const char* name : {"a1", "a2"})
-        all.add(name, process_role::agent, three);
+        all.add(name, process_role::agent, three_witnesses);
     for (const char* name : {"w1", "w2", "w3", "a1", "a2"})
         all.apply(name, all.at(name).on_platform_read("", all.now));
     return all;
@@ -32,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("config_spread - nothing accepted means nothing in force") {
+TEST_CASE("config_spread - nothing is in force before the first acceptance") {
     register_group all = started_group();
     all.gossip();
     CHECK(all.at("w1").recovered());
@@ -52,7 +53,7 @@
     all.add("w1", process_role::entry, {"w1"});
     all.add("a1", process_role::agent, {"w1"});
     all.apply("a1", all.at("a1").tick(all.now));
-    CHECK_FALSE(all.at("a1").recovered()); // the witness is not recovered
+    CHECK_FALSE(all.at("a1").recovered()); // the witness itself is unrecovered
     all.apply("w1", all.at("w1").on_platform_read(json_of(3), all.now));
     CHECK(in_force(all.at("w1")) == 3);
     all.gossip();
@@ -61,7 +62,7 @@
     CHECK(in_force(all.at("a1")) == 3);
 }
 
-TEST_CASE("config_spread - what is in force never goes down") {
+TEST_CASE("config_spread - the revision in force never decreases") {
     register_group all = started_group();
     for (const revision number : {1U, 2U, 3U})
         all.apply("w1", all.at("w1").on_accepted(json_of(number)));
@@ -74,7 +75,7 @@
     CHECK(all.at("a1").document() == 3);
 }
 
-TEST_CASE("config_spread - a push that went to some is repaired by gossip") {
+TEST_CASE("config_spread - gossip delivers a push that some peers missed") {
     register_group all = started_group();
     all.passes = [](const std::string&, const std::string& to) {
         return to != "a2";
@@ -87,12 +88,12 @@
     CHECK(all.count_in_force(1) == 5);
 }
 
-TEST_CASE("config_spread - a node restarts with nothing, the platform is "
-          "down and its nearest peer is behind") {
+TEST_CASE("config_spread - a node restarts without state while the "
+          "platform is down and its nearest peer is outdated") {
     register_group all = started_group();
     all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
-    // Revision 2 reaches everybody but a2, the peer that stands nearest.
+    // Revision 2 reaches every process but a2, the nearest peer of a1.
     all.passes = [](const std::string& from, const std::string& to) {
         return from != "a2" && to != "a2";
     };
@@ -101,14 +102,14 @@
     REQUIRE(in_force(all.at("a1")) == 2);
     REQUIRE(in_force(all.at("a2")) == 1);
 
-    all.add("a1", process_role::agent, three, 2);
+    all.add("a1", process_role::agent, three_witnesses, 2);
     all.passes = [](const std::string& from, const std::string& to) {
         return (from == "a1" && to == "a2") || (from == "a2" && to == "a1");
     };
     for (int round = 0; round < 5; ++round)
         all.gossip();
     CHECK(all.at("a1").document() <= 1);
-    CHECK(in_force(all.at("a1")) == 0); // better nothing than revision 1
+    CHECK(in_force(all.at("a1")) == 0); // must not fall back to revision 1
 
     all.passes = [](const std::string&, const std::string& to) {
         return to != "w2"; // a majority is enough
@@ -118,12 +119,12 @@
     CHECK(in_force(all.at("a1")) == 2);
 }
 
-TEST_CASE("config_spread - a restarted witness reports nothing before it "
-          "has heard from a majority of the others") {
+TEST_CASE("config_spread - a restarted witness reports nothing before a "
+          "majority of recovered witnesses has replied") {
     register_group all = started_group();
     all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
-    all.add("w3", process_role::entry, three, 2);
+    all.add("w3", process_role::entry, three_witnesses, 2);
     all.passes = [](const std::string& from, const std::string& to) {
         return from != "w2" && to != "w2";
     };
@@ -133,7 +134,7 @@
     CHECK(held_at(all.at("w3"), "w3") == 0);
     CHECK(in_force(all.at("w3")) == 0);
     // An unrecovered witness does not count for another starting process.
-    all.add("a1", process_role::agent, three, 2);
+    all.add("a1", process_role::agent, three_witnesses, 2);
     for (int round = 0; round < 3; ++round)
         all.gossip();
     CHECK_FALSE(all.at("a1").recovered());
@@ -146,7 +147,7 @@
     CHECK(all.count_in_force(1) == 5);
 }
 
-TEST_CASE("config_spread - an entry paused for a minute comes back") {
+TEST_CASE("config_spread - an entry isolated for a minute catches up") {
     register_group all = started_group();
     all.apply("w1", all.at("w1").on_accepted(json_of(1)));
     all.gossip();
@@ -159,7 +160,7 @@
         all.gossip();
     REQUIRE(in_force(all.at("w3")) == 1);
     all.passes = [](const std::string&, const std::string&) { return true; };
-    // It pushes its old document first.
+    // w3 pushes its outdated document first.
     all.apply("w3", {push_document{"a1", push_of("w3", 1)}});
     CHECK(in_force(all.at("a1")) == 3);
     all.gossip();
@@ -178,7 +179,7 @@
     all.passes = [&](const std::string& from, const std::string& to) {
         return is_left(from) == is_left(to);
     };
-    // The operator's entry is on the small side; the platform is reachable.
+    // The operator's entry is on the minority side; the platform is reachable.
     all.apply("w3", all.at("w3").on_accepted(json_of(2)));
     for (int round = 0; round < 10; ++round)
         all.gossip();
@@ -191,17 +192,17 @@
 
 TEST_CASE("config_spread - pushes alone reach a fleet of 200") {
     register_group all;
-    all.introduces = false;
+    all.auto_update_peers = false;
     const std::vector<std::string> witnesses = {"e0", "e1", "e2", "e3", "e4"};
     for (int index = 0; index < 8; ++index)
         all.add("e" + std::to_string(index), process_role::entry, witnesses);
     for (int index = 0; index < 192; ++index)
         all.add("a" + std::to_string(index), process_role::agent, witnesses);
-    all.introduce();
+    all.update_peers();
     all.apply("e7", all.at("e7").on_accepted(json_of(1)));
     std::size_t reached = 0;
     for (int index = 0; index < 192; ++index)
         reached += all.at("a" + std::to_string(index)).document();
     CAPTURE(reached);
-    CHECK(reached > 185); // gossip repairs the rest
+    CHECK(reached > 185); // gossip reaches the rest
 }
--- a/tests/configuration.cpp
+++ b/tests/configuration.cpp
@@ -59,7 +59,7 @@
         });
     }
 
-    std::size_t users_of(const std::string& name) {
+    std::size_t count_alive(const std::string& name) {
         return call([this, name] {
             std::size_t seen = 0;
             for (const auto role : {process_role::entry, process_role::agent})
@@ -102,7 +102,7 @@
     configuration* configuration_ = nullptr;
 };
 
-/// Three entries, which are the witnesses, and two agents.
+/// Cluster of three entries, which are the witnesses, and two agents.
 class control_plane {
   public:
     control_plane() : kv({"kv"}), vms({"vms", "--lag-ms", "0"}) {
@@ -111,9 +111,9 @@
             witnesses_.push_back({"e" + std::to_string(index + 1),
                                   {"127.0.0.1", ports.at(index)}});
         for (const witness_settings& witness : witnesses_)
-            describe(witness.name, process_role::entry, witness.peer);
-        describe("a1", process_role::agent, {"127.0.0.1", ports.at(3)});
-        describe("a2", process_role::agent, {"127.0.0.1", ports.at(4)});
+            add_settings(witness.name, process_role::entry, witness.peer);
+        add_settings("a1", process_role::agent, {"127.0.0.1", ports.at(3)});
+        add_settings("a2", process_role::agent, {"127.0.0.1", ports.at(4)});
         for (const auto& [name, values] : values_)
             start(name);
     }
@@ -128,7 +128,7 @@
 
     control_node& at(const std::string& name) { return *nodes_.at(name); }
 
-    /// Counts the processes that watch the platform's service.
+    /// Returns the number of processes that watch the platform's service.
     std::size_t watchers() {
         std::size_t count = 0;
         for (auto& [name, node] : nodes_)
@@ -136,27 +136,28 @@
         return count;
     }
 
-    bool all(const std::function<bool(control_node&)>& holds) {
+    bool all(const std::function<bool(control_node&)>& predicate) {
         return std::all_of(nodes_.begin(), nodes_.end(),
-                           [&](auto& item) { return holds(*item.second); });
+                           [&](auto& item) { return predicate(*item.second); });
     }
 
-    /// Waits until `holds` is true for every process.
-    bool await(const std::function<bool(control_node&)>& holds,
-               milliseconds limit) {
-        const instant end = steady::now() + limit;
-        while (!all(holds)) {
-            if (steady::now() > end)
+    /// Waits until `predicate` is true for every process; returns false if
+    /// `timeout` passes first.
+    bool await(const std::function<bool(control_node&)>& predicate,
+               milliseconds timeout) {
+        const instant deadline = steady::now() + timeout;
+        while (!all(predicate)) {
+            if (steady::now() > deadline)
                 return false;
             std::this_thread::sleep_for(poll_interval);
         }
         return true;
     }
 
-    bool await_in_force(revision number, milliseconds limit) {
+    bool await_in_force(revision number, milliseconds timeout) {
         return await(
             [number](control_node& node) { return node.in_force() == number; },
-            limit);
+            timeout);
     }
 
     bool await_ready() {
@@ -171,8 +172,8 @@
     standin vms;
 
   private:
-    void describe(const std::string& name, process_role role,
-                  const address& peer) {
+    void add_settings(const std::string& name, process_role role,
+                      const address& peer) {
         settings values = node_settings(name, peer.port);
         values.process.role = role;
         values.process.data_centre = "kolkata";
@@ -201,7 +202,7 @@
 } // namespace
 
 TEST_CASE("configuration - an accepted document is in force everywhere within "
-          "seconds, though the platform goes down right after the write") {
+          "seconds although the platform goes down right after the write") {
     control_plane system;
     REQUIRE(system.await_ready());
     CHECK(is_accepted(system.at("e2").accept(0, "op-1"), 1));
@@ -213,14 +214,15 @@
     control_plane system;
     REQUIRE(system.await_ready());
     REQUIRE(is_accepted(system.at("e2").accept(0, "op-1"), 1));
-    // The first write of the next acceptance copies the history.
+    // Two writes: the copy to the history key, then the document itself.
     system.kv.post("/control/faults", {{"lose_answers", 2}});
     CHECK(is_accepted(system.at("e3").accept(1, "op-2"), 2));
     CHECK(system.await_in_force(2, seconds(5)));
 }
 
-TEST_CASE("configuration - processes restart with nothing while the platform "
-          "is down") {
+TEST_CASE(
+    "configuration - processes recover after a restart without state while "
+    "the platform is down") {
     control_plane system;
     REQUIRE(system.await_ready());
     REQUIRE(is_accepted(system.at("e1").accept(0, "op-1"), 1));
@@ -234,7 +236,7 @@
     CHECK(system.await_in_force(1, seconds(10)));
 }
 
-TEST_CASE("configuration - a platform that answers nothing delays neither "
+TEST_CASE("configuration - a platform that does not answer delays neither "
           "start nor gossip") {
     control_plane system;
     REQUIRE(system.await_ready());
@@ -244,18 +246,18 @@
     system.start("a2");
     CHECK(system.await_in_force(1, seconds(10)));
     CHECK(std::holds_alternative<rejected>(
-        system.at("e1").accept(1, "op-2"))); // the first read gets no answer
-    // Ends the calls that hang in the stand-in.
+        system.at("e1").accept(1, "op-2"))); // the first read times out
+    // Ends the calls that are still pending in the stand-in.
     system.kv.post("/control/faults", {{"down", true}});
 }
 
-TEST_CASE("configuration - a change in the platform is seen by watch") {
+TEST_CASE("configuration - a change in the platform is detected by the watch") {
     control_plane system;
     REQUIRE(system.await_ready());
     rollout_document document;
     document.number = 7;
     document.operation_id = "op-7";
-    // Written by an entry that died before it told anybody.
+    // As if written by an entry that crashed before it pushed the document.
     const kv_client client(system.kv.url(), milliseconds(500));
     error failure;
     REQUIRE(value_or_error(
@@ -267,25 +269,26 @@
     CHECK(system.await_in_force(7, seconds(4)));
 }
 
-TEST_CASE("configuration - leaving by signal or by list ends new work within "
-          "3 s") {
+TEST_CASE(
+    "configuration - a member that leaves by signal or by VM list gets no "
+    "new work after 3 s") {
     control_plane system;
     REQUIRE(system.await_ready());
     system.at("e2").set_leaving();
     CHECK(system.await(
-        [](control_node& node) { return node.users_of("e2") == 0; },
+        [](control_node& node) { return node.count_alive("e2") == 0; },
         seconds(3)));
     system.vms.post("/control/vm", {{"vm", "a1"}, {"state", "leaving"}});
     CHECK(system.await(
-        [](control_node& node) { return node.users_of("a1") == 0; },
+        [](control_node& node) { return node.count_alive("a1") == 0; },
         seconds(3)));
     CHECK(system.await(
-        [](control_node& node) { return node.users_of("a2") == 1; },
+        [](control_node& node) { return node.count_alive("a2") == 1; },
         seconds(1)));
 }
 
 TEST_CASE("configuration - the first entries of a data centre watch, and "
-          "another one takes over") {
+          "another one takes over from a stopped one") {
     control_plane system;
     REQUIRE(system.await_ready());
     const auto only_two = [&](control_node&) {
