--- a/include/ospreystage/impl/broker_state.hpp
+++ b/include/ospreystage/impl/broker_state.hpp
@@ -38,7 +38,7 @@
     attempt_id id;
     process_id agent;
     digest version;
-    bool begun = false; ///< `answer_begin` has come.
+    bool answer_begun = false; ///< `answer_begin` has come.
     bool seal_sent = false;
     std::uint32_t next_part = 0;
 };
@@ -46,27 +46,28 @@
 /// One request of a caller.
 struct request_state {
     incoming_request incoming;
-    bool engine = false;
+    bool engine_service = false;
     bool streams = false; ///< Parts go to the caller as they arrive.
     std::uint32_t priority = 0;
     instant deadline{};
     request_phase phase = request_phase::waiting;
-    instant wait_until{}; ///< Bound of claiming, choosing or resolving.
+    instant phase_deadline{}; ///< Bound of claiming, choosing or resolving.
 
     claim_tally tally;
-    instant claim_again{};
+    instant next_claim_at{};
     bool claimed = false; ///< The vote was won and not released.
 
     std::optional<attempt_state> attempt;
     std::uint32_t attempts = 0;
-    bool unsealed = false; ///< An attempt without an answer may have run.
-    absl::flat_hash_set<std::string> tried; ///< Agents not to try again.
+    bool attempt_lost = false; ///< An attempt without an answer may have run.
+    absl::flat_hash_set<std::string>
+        excluded_agents; ///< Agents not to try again.
     std::string last_reason;
     milliseconds retry_after{};
 
-    bool passed_begin = false; ///< The caller has got the status.
-    std::uint32_t tokens_passed = 0;
-    digest pinned; ///< Version that began the answer passed on.
+    bool begin_forwarded = false; ///< The caller has got the status.
+    std::uint32_t tokens_forwarded = 0;
+    digest pinned_version; ///< Version that began the answer passed on.
     std::uint16_t status = 0;
     std::string content_type;
     std::string buffered; ///< Answer so far, if it is not streamed.
@@ -76,14 +77,14 @@
 struct agent_state {
     std::string vm;
     bool listed = false; ///< Alive and not leaving.
-    bool up = false;
+    bool link_up = false;
     process_id id; ///< Incarnation behind the link, if it is up.
-    instant probe_again{};
+    instant next_connect_at{};
     bool reported = false;
     load_report load;
-    instant load_at{};
+    instant load_received_at{};
     std::uint32_t outstanding = 0;
-    std::uint32_t outstanding_then = 0; ///< When `load` came.
+    std::uint32_t outstanding_at_report = 0; ///< When `load` came.
 };
 
 /// State and transitions of the broker; see `broker`.
@@ -122,10 +123,11 @@
     void refuse(request_id request, outcome result, const std::string& reason,
                 milliseconds retry_after, instant now);
     /// Ends a request without an answer: `unknown` if an attempt may have run.
-    void give_up(request_id request, const std::string& reason, instant now);
-    void forget(request_id request, bool answered, instant now);
+    void fail_request(request_id request, const std::string& reason,
+                      instant now);
+    void remove_request(request_id request, bool answered, instant now);
     /// Begins what an admitted request needs first.
-    void enter(request_id request, instant now);
+    void start_request(request_id request, instant now);
     void admit_waiting(instant now);
     void check_deadline(request_id request, instant now);
 
@@ -134,13 +136,13 @@
     void start_claim(request_id request, instant now);
     void send_claims(request_state& state);
     void release_claim(request_state& state);
-    void decide_claim(request_id request, instant now);
+    void apply_verdict(request_id request, instant now);
     void on_claim_reply(const claim_reply& reply, instant now);
     void check_claim(request_id request, instant now);
 
     // ---- Dispatch ----------------------------------------------------------
 
-    void choose_later(request_id request, instant now);
+    void start_choosing(request_id request, instant now);
     void dispatch(request_id request, instant now);
     [[nodiscard]] bool dispatch_version(request_id request,
                                         const digest& version, instant now);
@@ -151,50 +153,50 @@
     superseded_version(request_id request, const request_state& state,
                        const digest& version) const;
     [[nodiscard]] std::vector<digest>
-    wanted_versions(request_id request, const request_state& state) const;
-    [[nodiscard]] bool is_wanted(const agent_state& agent,
-                                 const request_state& state,
-                                 const digest& version) const;
+    eligible_versions(request_id request, const request_state& state) const;
+    [[nodiscard]] bool is_eligible(const agent_state& agent,
+                                   const request_state& state,
+                                   const digest& version) const;
     [[nodiscard]] std::vector<balancer_candidate>
     candidates(const request_state& state, const digest& version,
                instant now) const;
     [[nodiscard]] bool may_become_usable(const request_state& state) const;
     /// Attempts of a service that this entry may have in flight; 0: unknown.
-    [[nodiscard]] std::uint32_t slots_of(const std::string& service,
-                                         instant now) const;
-    void send_order(request_id request, const std::string& agent,
-                    const digest& version, instant now);
+    [[nodiscard]] std::uint32_t slot_count(const std::string& service,
+                                           instant now) const;
+    void send_run_order(request_id request, const std::string& agent,
+                        const digest& version, instant now);
     void end_attempt(request_state& state);
     /// The attempt never ran and never will.
     void on_sealed(request_id request, refusal reason, milliseconds retry_after,
                    instant now);
     /// The attempt may have run; its answer is lost.
     void on_lost(request_id request, const std::string& reason, instant now);
-    void try_again(request_id request, const std::string& reason, bool free,
-                   instant now);
+    void retry(request_id request, const std::string& reason,
+               bool exempt_from_budget, instant now);
 
     // ---- Answers -----------------------------------------------------------
 
     [[nodiscard]] std::optional<request_id>
-    find_attempt(const attempt_id& attempt, const process_id& from) const;
+    find_request(const attempt_id& attempt, const process_id& from) const;
     void on_run_refused(request_id request, const run_refused& body,
                         instant now);
     void on_begin(request_id request, const answer_begin& body, instant now);
     void on_part(request_id request, const answer_part& body, instant now);
     void on_end(request_id request, const answer_end& body, instant now);
-    void stop_attempt(request_id request, const std::string& reason,
-                      instant now);
-    void pass_begin(request_id request, request_state& state);
+    void abort_attempt(request_id request, const std::string& reason,
+                       instant now);
+    void forward_begin(request_id request, request_state& state);
 
     // ---- Links -------------------------------------------------------------
 
     void update_subsets();
-    void probe(const std::string& agent, agent_state& state, instant now);
-    void probe_missing(instant now);
+    void connect(const std::string& agent, agent_state& state, instant now);
+    void connect_missing(instant now);
     /// Sends if the link to this incarnation is up.
     void send_to_agent(const process_id& agent, message body);
     [[nodiscard]] std::vector<request_id>
-    requests_at(const std::string& agent) const;
+    requests_on(const std::string& agent) const;
     void resolve(request_id request, const process_id& agent,
                  const std::vector<attempt_id>& started, instant now);
     void on_load_report(const process_id& from, const load_report& report,
@@ -205,12 +207,12 @@
     std::vector<std::string> witnesses_;
     balancer balancer_;
     admission admission_;
-    retry_budget retries_;
+    retry_budget retry_budget_;
     std::mt19937_64 random_;
     std::shared_ptr<const rollout_document> document_;
     /// Document before `document_`: its versions answer on agents that do not
     /// hold the current ones yet.
-    std::shared_ptr<const rollout_document> superseded_;
+    std::shared_ptr<const rollout_document> previous_document_;
     std::vector<std::string> entries_;
     bool leaving_ = false;
     std::map<request_id, request_state> requests_;
@@ -220,7 +222,7 @@
     std::map<std::string, agent_state> agents_;
     /// Agents of each service that this entry connects to.
     std::map<std::string, std::vector<std::string>> subsets_;
-    broker_actions out_;
+    broker_actions actions_;
     std::uint64_t answered_total_ = 0;
     std::uint64_t not_run_total_ = 0;
     std::uint64_t unknown_total_ = 0;
--- a/include/ospreystage/requests/broker_action.hpp
+++ b/include/ospreystage/requests/broker_action.hpp
@@ -31,7 +31,7 @@
 /// Opens the link to `agent` if there is none.
 ///
 /// The shell answers with `broker::on_link_up` or `broker::on_link_down`.
-struct probe_action {
+struct connect_action {
     std::string agent;
 };
 
@@ -67,7 +67,7 @@
 
 /// Effect that the broker asks its shell for.
 using broker_action =
-    std::variant<send_action, probe_action, answer_begin_action,
+    std::variant<send_action, connect_action, answer_begin_action,
                  answer_part_action, answer_end_action, refuse_action>;
 
 /// Effects in the order in which they must happen.
--- a/include/ospreystage/requests/claim_service.hpp
+++ b/include/ospreystage/requests/claim_service.hpp
@@ -20,11 +20,11 @@
     [[nodiscard]] claim_reply vote(const claim_request& request);
 
     /// Withdraws a claim of this entry's own.
-    void release(const claim_release& given);
+    void release(const claim_release& claim);
 
     /// The platform's service said after this start that nothing was ever
     /// accepted.
-    void recovered_fresh();
+    void skip_recovery();
 
   private:
     kernel& core_;
--- a/include/ospreystage/requests/claim_table.hpp
+++ b/include/ospreystage/requests/claim_table.hpp
@@ -28,7 +28,7 @@
 class claim_table {
   public:
     /// Recovery request for one other witness.
-    struct recovery_step {
+    struct outgoing_recover_request {
         std::string witness;
         recover_request body;
     };
@@ -61,7 +61,7 @@
 
     /// Ends the recovery: the platform's service said after the start of this
     /// process that no rollout was ever accepted, so nothing can have run.
-    void recovered_fresh();
+    void skip_recovery();
 
     /// Records or looks up a claim and votes.
     ///
@@ -82,7 +82,7 @@
     void on_recover_reply(const recover_reply& reply, instant now);
 
     /// Forgets old records; returns the recovery requests that are due.
-    [[nodiscard]] std::vector<recovery_step> tick(instant now);
+    [[nodiscard]] std::vector<outgoing_recover_request> tick(instant now);
 
   private:
     struct stored_claim {
@@ -90,27 +90,27 @@
         instant expires{};
     };
     /// More than one claim for a key contradict each other: no vote.
-    using claims = std::vector<stored_claim>;
+    using claim_list = std::vector<stored_claim>;
 
-    void learn(const process_id& witness);
+    void record_incarnation(const process_id& witness);
     void store(const claim_record& record, instant now);
-    [[nodiscard]] bool shares(const claim_key& key,
-                              const std::string& witness) const;
-    void forget_old(instant now);
-    [[nodiscard]] std::vector<process_id> known() const;
+    [[nodiscard]] bool is_voter(const claim_key& key,
+                                const std::string& witness) const;
+    void evict_expired(instant now);
+    [[nodiscard]] std::vector<process_id> newest_incarnations() const;
 
     process_id self_;
     std::vector<std::string> witnesses_;
     milliseconds retention_{};
     std::size_t limit_ = 0;
     instant started_{};
-    bool fresh_ = false;
-    absl::flat_hash_map<claim_key, claims> claims_;
+    bool recovery_skipped_ = false;
+    absl::flat_hash_map<claim_key, claim_list> claims_;
     absl::btree_set<std::tuple<instant, claim_key, attempt_id>> expiry_;
     /// Newest incarnation of each other witness.
-    absl::flat_hash_map<std::string, std::uint64_t> known_;
-    absl::flat_hash_set<std::string> answered_;
-    instant next_request_{};
+    absl::flat_hash_map<std::string, std::uint64_t> newest_incarnations_;
+    absl::flat_hash_set<std::string> recovered_from_;
+    instant next_recovery_at_{};
     std::uint64_t refused_full_ = 0;
 };
 
--- a/include/ospreystage/requests/claim_tally.hpp
+++ b/include/ospreystage/requests/claim_tally.hpp
@@ -26,7 +26,7 @@
 
 /// State of a vote on a claim.
 enum class claim_verdict : std::uint8_t {
-    open,       ///< More votes may decide it.
+    undecided,  ///< More votes may decide it.
     won,        ///< The attempt may run.
     taken,      ///< Another attempt holds the key.
     key_reused, ///< Another request with a different body holds the key.
@@ -41,15 +41,15 @@
     claim_tally() = default;
 
     /// Counts for `wanted`; `voters` are from `claim_voters`.
-    claim_tally(claim_record wanted, std::vector<std::string> voters);
+    claim_tally(claim_record requested, std::vector<std::string> voters);
 
     // ---- Observers ---------------------------------------------------------
 
-    [[nodiscard]] const claim_record& wanted() const noexcept;
+    [[nodiscard]] const claim_record& requested() const noexcept;
     [[nodiscard]] const std::vector<std::string>& voters() const noexcept;
 
     /// Voters whose vote is missing or void.
-    [[nodiscard]] std::vector<std::string> missing() const;
+    [[nodiscard]] std::vector<std::string> missing_voters() const;
 
     [[nodiscard]] claim_verdict verdict() const;
 
@@ -62,13 +62,13 @@
   private:
     /// Returns true if no reply names a newer incarnation of its witness.
     [[nodiscard]] bool is_current(const claim_reply& reply) const;
-    [[nodiscard]] std::vector<const claim_reply*> counted() const;
+    [[nodiscard]] std::vector<const claim_reply*> valid_votes() const;
 
-    claim_record wanted_;
+    claim_record requested_;
     std::vector<std::string> voters_;
     absl::flat_hash_map<std::string, claim_reply> replies_;
     /// Newest incarnation heard of, per witness.
-    absl::flat_hash_map<std::string, std::uint64_t> newest_;
+    absl::flat_hash_map<std::string, std::uint64_t> newest_incarnations_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/requests/request_service.hpp
+++ b/include/ospreystage/requests/request_service.hpp
@@ -20,7 +20,7 @@
     // ---- Construction ------------------------------------------------------
 
     request_service(kernel& core, const settings& configuration,
-                    callback deliver);
+                    callback on_event);
 
     /// Subscribes to links and starts the tick; before `links::start`.
     void start();
@@ -56,13 +56,13 @@
     template <typename Message>
     void forward();
     void perform(broker::actions actions);
-    void deliver(const std::string& process, const message& body);
-    void deliver_to_own_claim_table(const message& body);
-    void probe(const std::string& agent);
+    void send_message(const std::string& process, const message& body);
+    void send_to_local_claim_table(const message& body);
+    void connect(const std::string& agent);
 
     kernel& core_;
     links& links_;
-    callback to_caller_;
+    callback on_event_;
     broker broker_;
 };
 
--- a/include/ospreystage/requests/retry_budget.hpp
+++ b/include/ospreystage/requests/retry_budget.hpp
@@ -17,14 +17,15 @@
     [[nodiscard]] std::uint32_t available() const noexcept;
 
     /// Earns for one new request.
-    void earn() noexcept;
+    void deposit() noexcept;
 
     /// Takes one retry; returns false if there is none.
-    [[nodiscard]] bool spend() noexcept;
+    [[nodiscard]] bool try_withdraw() noexcept;
 
   private:
     std::uint32_t percent_ = 0;
-    std::uint32_t hundredths_ = 0; ///< Earned, in hundredths of a retry.
+    std::uint32_t balance_hundredths_ =
+        0; ///< Earned, in hundredths of a retry.
 };
 
 } // namespace ospreystage
--- a/src/app/entry_process.cpp
+++ b/src/app/entry_process.cpp
@@ -67,7 +67,7 @@
         auto& claims =
             core.add("claims", std::make_unique<claim_service>(core, values));
         claims.start();
-        config.on_nothing_accepted([&claims] { claims.recovered_fresh(); });
+        config.on_nothing_accepted([&claims] { claims.skip_recovery(); });
     }
 }
 
--- a/src/requests/broker_claims.cpp
+++ b/src/requests/broker_claims.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 /// Time in which the votes on a key must come.
-constexpr milliseconds claim_bound{1000};
+constexpr milliseconds claim_timeout{1000};
 
 /// Interval at which voters without a vote are asked again.
-constexpr milliseconds claim_interval{250};
+constexpr milliseconds claim_retry_interval{250};
 
 /// Range of the time after which a caller may repeat a split vote.
-constexpr milliseconds min_split_retry{50};
-constexpr milliseconds max_split_retry{250};
+constexpr milliseconds min_split_retry_after{50};
+constexpr milliseconds max_split_retry_after{250};
 
-digest digest_of(const incoming_request& incoming) {
+digest request_digest(const incoming_request& incoming) {
     return sha256(fmt::format("{}\n{}\n{}\n{}\n{}", incoming.service,
                               incoming.method, incoming.path,
                               incoming.content_type, incoming.body));
@@ -29,29 +29,30 @@
 
 void broker_state::start_claim(request_id request, instant now) {
     request_state& state = requests_.at(request);
-    claim_record wanted;
-    wanted.key = {state.incoming.organisation, state.incoming.idempotency_key};
-    wanted.body = digest_of(state.incoming);
-    wanted.attempt = {self_, next_sequence_++};
-    attempts_.emplace(wanted.attempt.sequence, request);
-    state.tally = claim_tally(wanted, claim_voters(wanted.key, witnesses_));
+    claim_record record;
+    record.key = {state.incoming.organisation, state.incoming.idempotency_key};
+    record.body = request_digest(state.incoming);
+    record.attempt = {self_, next_sequence_++};
+    attempts_.emplace(record.attempt.sequence, request);
+    state.tally = claim_tally(record, claim_voters(record.key, witnesses_));
     state.phase = request_phase::claiming;
-    state.wait_until = std::min(state.deadline, now + claim_bound);
-    state.claim_again = now + claim_interval;
+    state.phase_deadline = std::min(state.deadline, now + claim_timeout);
+    state.next_claim_at = now + claim_retry_interval;
     send_claims(state);
 }
 
 void broker_state::send_claims(request_state& state) {
-    for (const std::string& voter : state.tally.missing())
-        out_.emplace_back(send_action{
-            voter, claim_request{state.tally.wanted(), process_id{voter, 0}}});
+    for (const std::string& voter : state.tally.missing_voters())
+        actions_.emplace_back(
+            send_action{voter, claim_request{state.tally.requested(),
+                                             process_id{voter, 0}}});
 }
 
 void broker_state::release_claim(request_state& state) {
     for (const std::string& voter : state.tally.voters())
-        out_.emplace_back(
-            send_action{voter, claim_release{state.tally.wanted().key,
-                                             state.tally.wanted().attempt}});
+        actions_.emplace_back(
+            send_action{voter, claim_release{state.tally.requested().key,
+                                             state.tally.requested().attempt}});
     state.claimed = false;
 }
 
@@ -65,22 +66,22 @@
     request_state& state = requests_.at(request);
     if (state.phase != request_phase::claiming)
         return;
-    if (state.wait_until <= now) {
+    if (state.phase_deadline <= now) {
         check_claim(request, now);
         return;
     }
     state.tally.add(reply);
-    decide_claim(request, now);
+    apply_verdict(request, now);
 }
 
-void broker_state::decide_claim(request_id request, instant now) {
+void broker_state::apply_verdict(request_id request, instant now) {
     request_state& state = requests_.at(request);
     switch (state.tally.verdict()) {
-    case claim_verdict::open:
+    case claim_verdict::undecided:
         return;
     case claim_verdict::won:
         state.claimed = true;
-        choose_later(request, now);
+        start_choosing(request, now);
         return;
     case claim_verdict::taken:
         release_claim(state);
@@ -94,7 +95,8 @@
         release_claim(state);
         refuse(request, outcome::not_run, "claim_split",
                milliseconds{absl::Uniform<std::int64_t>(
-                   random_, min_split_retry.count(), max_split_retry.count())},
+                   random_, min_split_retry_after.count(),
+                   max_split_retry_after.count())},
                now);
         return;
     }
@@ -102,13 +104,13 @@
 
 void broker_state::check_claim(request_id request, instant now) {
     request_state& state = requests_.at(request);
-    if (state.wait_until <= now) {
-        give_up(request, "claim_unavailable", now);
+    if (state.phase_deadline <= now) {
+        fail_request(request, "claim_unavailable", now);
         return;
     }
-    if (state.claim_again > now)
+    if (state.next_claim_at > now)
         return;
-    state.claim_again = now + claim_interval;
+    state.next_claim_at = now + claim_retry_interval;
     send_claims(state);
 }
 
--- a/src/requests/broker_dispatch.cpp
+++ b/src/requests/broker_dispatch.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Time in which an agent must be found for an attempt.
-constexpr milliseconds choose_bound{1500};
+constexpr milliseconds choose_timeout{1500};
 
 /// Attempts of one request, the first included.
 constexpr std::uint32_t max_attempts = 4;
@@ -16,8 +16,9 @@
 /// Capacity assumed of an agent that has not reported any.
 constexpr std::uint32_t unreported_capacity = 16;
 
-milliseconds age_of(const agent_state& agent, instant now) {
-    return std::chrono::duration_cast<milliseconds>(now - agent.load_at) +
+milliseconds load_age(const agent_state& agent, instant now) {
+    return std::chrono::duration_cast<milliseconds>(now -
+                                                    agent.load_received_at) +
            milliseconds{agent.load.age_ms};
 }
 
@@ -49,28 +50,29 @@
 
 } // namespace
 
-void broker_state::choose_later(request_id request, instant now) {
+void broker_state::start_choosing(request_id request, instant now) {
     request_state& state = requests_.at(request);
     state.phase = request_phase::choosing;
-    state.wait_until = std::min(state.deadline, now + choose_bound);
+    state.phase_deadline = std::min(state.deadline, now + choose_timeout);
     dispatch(request, now);
 }
 
 void broker_state::dispatch(request_id request, instant now) {
     request_state& state = requests_.at(request);
     if (state.deadline <= now) {
-        give_up(request, "deadline", now);
+        fail_request(request, "deadline", now);
         return;
     }
-    for (const digest& version : wanted_versions(request, state)) {
+    for (const digest& version : eligible_versions(request, state)) {
         if (dispatch_version(request, version, now))
             return;
     }
-    if (now < state.wait_until && may_become_usable(state))
+    if (now < state.phase_deadline && may_become_usable(state))
         return;
-    give_up(request,
-            state.last_reason.empty() ? "no_backend_server" : state.last_reason,
-            now);
+    fail_request(request,
+                 state.last_reason.empty() ? "no_backend_server"
+                                           : state.last_reason,
+                 now);
 }
 
 bool broker_state::dispatch_version(request_id request, const digest& version,
@@ -89,18 +91,18 @@
     const auto chosen = balancer_.choose(usable);
     if (!chosen)
         return false;
-    send_order(request, usable[*chosen].agent,
-               *chosen < current ? version : *older, now);
+    send_run_order(request, usable[*chosen].agent,
+                   *chosen < current ? version : *older, now);
     return true;
 }
 
 std::optional<digest>
 broker_state::superseded_version(request_id request, const request_state& state,
                                  const digest& version) const {
-    if (!state.engine || state.passed_begin || !superseded_)
+    if (!state.engine_service || state.begin_forwarded || !previous_document_)
         return std::nullopt;
     const auto before =
-        choose_deployments(*superseded_, state.incoming.service,
+        choose_deployments(*previous_document_, state.incoming.service,
                            state.incoming.organisation, request);
     if (before.empty() || before.front()->version == version)
         return std::nullopt;
@@ -117,12 +119,12 @@
 }
 
 std::vector<digest>
-broker_state::wanted_versions(request_id request,
-                              const request_state& state) const {
-    if (!state.engine)
+broker_state::eligible_versions(request_id request,
+                                const request_state& state) const {
+    if (!state.engine_service)
         return {digest{}};
-    if (state.passed_begin)
-        return {state.pinned};
+    if (state.begin_forwarded)
+        return {state.pinned_version};
     std::vector<digest> versions;
     for (const deployment* target :
          choose_deployments(*document_, state.incoming.service,
@@ -131,13 +133,13 @@
     return versions;
 }
 
-bool broker_state::is_wanted(const agent_state& agent,
-                             const request_state& state,
-                             const digest& version) const {
-    if (!agent.listed || !agent.up || agent.load.leaving ||
-        state.tried.contains(agent.id.name))
+bool broker_state::is_eligible(const agent_state& agent,
+                               const request_state& state,
+                               const digest& version) const {
+    if (!agent.listed || !agent.link_up || agent.load.leaving ||
+        state.excluded_agents.contains(agent.id.name))
         return false;
-    if (!state.engine)
+    if (!state.engine_service)
         return true;
     return agent.reported && agent.load.service == state.incoming.service &&
            contains(agent.load.versions, version);
@@ -152,7 +154,7 @@
         return usable;
     for (const std::string& name : subset->second) {
         const agent_state& agent = agents_.at(name);
-        if (!is_wanted(agent, state, version))
+        if (!is_eligible(agent, state, version))
             continue;
         balancer_candidate candidate;
         candidate.agent = name;
@@ -160,9 +162,9 @@
         if (agent.reported) {
             const auto& prefixes = agent.load.prefixes;
             candidate.reported = agent.load.running + agent.load.queued;
-            candidate.outstanding_then = agent.outstanding_then;
+            candidate.outstanding_then = agent.outstanding_at_report;
             candidate.capacity = agent.load.capacity;
-            candidate.age = age_of(agent, now);
+            candidate.age = load_age(agent, now);
             candidate.has_prefix =
                 state.incoming.prefix_hash != 0 &&
                 std::find(prefixes.begin(), prefixes.end(),
@@ -173,26 +175,27 @@
     return usable;
 }
 
-std::uint32_t broker_state::slots_of(const std::string& service,
-                                     instant now) const {
+std::uint32_t broker_state::slot_count(const std::string& service,
+                                       instant now) const {
     const auto entries =
         std::max<std::uint32_t>(static_cast<std::uint32_t>(entries_.size()), 1);
     std::uint32_t slots = 0;
     for (const std::string& name : subsets_.at(service)) {
         const agent_state& agent = agents_.at(name);
-        if (!agent.listed || !agent.up || agent.load.leaving)
+        if (!agent.listed || !agent.link_up || agent.load.leaving)
             continue;
         const std::uint32_t capacity =
             agent.reported ? agent.load.capacity : unreported_capacity;
         const std::uint32_t reported =
             agent.reported ? agent.load.running + agent.load.queued : 0;
         const std::uint32_t others =
-            reported - std::min(reported, agent.outstanding_then);
-        const auto fresh = static_cast<std::uint32_t>(
-            others * load_weight(age_of(agent, now)));
-        const std::uint32_t wanted = capacity + capacity / 4;
-        const std::uint32_t left = wanted - std::min(wanted, fresh);
-        slots += std::max({left, capacity / entries, 1U});
+            reported - std::min(reported, agent.outstanding_at_report);
+        const auto weighted = static_cast<std::uint32_t>(
+            others * load_weight(load_age(agent, now)));
+        const std::uint32_t max_slots = capacity + capacity / 4;
+        const std::uint32_t available =
+            max_slots - std::min(max_slots, weighted);
+        slots += std::max({available, capacity / entries, 1U});
     }
     return slots;
 }
@@ -204,14 +207,15 @@
     return std::any_of(subset->second.begin(), subset->second.end(),
                        [&](const std::string& name) {
                            const agent_state& agent = agents_.at(name);
-                           return agent.listed && !state.tried.contains(name) &&
-                                  (!agent.up ||
-                                   (state.engine && !agent.reported));
+                           return agent.listed &&
+                                  !state.excluded_agents.contains(name) &&
+                                  (!agent.link_up ||
+                                   (state.engine_service && !agent.reported));
                        });
 }
 
-void broker_state::send_order(request_id request, const std::string& agent,
-                              const digest& version, instant now) {
+void broker_state::send_run_order(request_id request, const std::string& agent,
+                                  const digest& version, instant now) {
     request_state& state = requests_.at(request);
     agent_state& target = agents_.at(agent);
     attempt_state attempt;
@@ -232,7 +236,7 @@
     order.priority = state.priority;
     order.deadline_ms = static_cast<std::uint32_t>(
         std::chrono::ceil<milliseconds>(state.deadline - now).count());
-    order.skip_tokens = state.tokens_passed;
+    order.skip_tokens = state.tokens_forwarded;
     order.stream = state.streams;
     order.non_idempotent = state.incoming.non_idempotent;
     order.idempotency_key = state.incoming.idempotency_key;
@@ -241,7 +245,7 @@
     ++state.attempts;
     state.attempt = std::move(attempt);
     state.phase = request_phase::in_flight;
-    out_.emplace_back(send_action{agent, std::move(order)});
+    actions_.emplace_back(send_action{agent, std::move(order)});
 }
 
 void broker_state::end_attempt(request_state& state) {
@@ -259,39 +263,40 @@
                              milliseconds retry_after, instant now) {
     request_state& state = requests_.at(request);
     if (reason != refusal::stale_epoch)
-        state.tried.insert(state.attempt->agent.name);
+        state.excluded_agents.insert(state.attempt->agent.name);
     state.retry_after = std::max(state.retry_after, retry_after);
     end_attempt(state);
     if (reason == refusal::sealed || reason == refusal::expired) {
-        give_up(request, reason_of(reason), now);
+        fail_request(request, reason_of(reason), now);
         return;
     }
     const bool first = state.attempts == 1;
-    try_again(request, reason_of(reason), first, now);
+    retry(request, reason_of(reason), first, now);
 }
 
 void broker_state::on_lost(request_id request, const std::string& reason,
                            instant now) {
     request_state& state = requests_.at(request);
-    state.unsealed = true;
+    state.attempt_lost = true;
     end_attempt(state);
     if (state.incoming.non_idempotent) {
-        give_up(request, reason, now);
+        fail_request(request, reason, now);
         return;
     }
-    try_again(request, reason, false, now);
+    retry(request, reason, false, now);
 }
 
-void broker_state::try_again(request_id request, const std::string& reason,
-                             bool free, instant now) {
+void broker_state::retry(request_id request, const std::string& reason,
+                         bool exempt_from_budget, instant now) {
     request_state& state = requests_.at(request);
     state.last_reason = reason;
-    if (state.attempts >= max_attempts || (!free && !retries_.spend())) {
-        give_up(request, reason, now);
+    if (state.attempts >= max_attempts ||
+        (!exempt_from_budget && !retry_budget_.try_withdraw())) {
+        fail_request(request, reason, now);
         return;
     }
     ++retried_total_;
-    choose_later(request, now);
+    start_choosing(request, now);
 }
 
 } // namespace ospreystage::impl
--- a/src/requests/broker_links.cpp
+++ b/src/requests/broker_links.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// Interval between two probes of the same agent.
-constexpr milliseconds probe_interval{500};
+constexpr milliseconds connect_interval{500};
 
 /// Time in which the truth about an attempt must be had after its link broke.
-constexpr milliseconds resolve_bound{1500};
+constexpr milliseconds resolve_timeout{1500};
 
 bool contains(const std::vector<attempt_id>& attempts,
               const attempt_id& attempt) {
@@ -31,7 +31,7 @@
     }
     std::erase_if(agents_, [](const auto& item) {
         const agent_state& agent = item.second;
-        return !agent.listed && !agent.up && agent.outstanding == 0;
+        return !agent.listed && !agent.link_up && agent.outstanding == 0;
     });
     update_subsets();
 }
@@ -53,36 +53,37 @@
     }
 }
 
-void broker_state::probe(const std::string& agent, agent_state& state,
-                         instant now) {
-    if (state.probe_again > now)
+void broker_state::connect(const std::string& agent, agent_state& state,
+                           instant now) {
+    if (state.next_connect_at > now)
         return;
-    state.probe_again = now + probe_interval;
-    out_.emplace_back(probe_action{agent});
+    state.next_connect_at = now + connect_interval;
+    actions_.emplace_back(connect_action{agent});
 }
 
-void broker_state::probe_missing(instant now) {
+void broker_state::connect_missing(instant now) {
     for (const auto& [service, names] : subsets_) {
         for (const std::string& name : names) {
             agent_state& agent = agents_.at(name);
-            if (agent.listed && !agent.up)
-                probe(name, agent, now);
+            if (agent.listed && !agent.link_up)
+                connect(name, agent, now);
         }
     }
     for (const request_id id : requests_in(request_phase::resolving)) {
         const std::string& name = requests_.at(id).attempt->agent.name;
-        probe(name, agents_.at(name), now);
+        connect(name, agents_.at(name), now);
     }
 }
 
 void broker_state::send_to_agent(const process_id& agent, message body) {
     const auto found = agents_.find(agent.name);
-    if (found != agents_.end() && found->second.up && found->second.id == agent)
-        out_.emplace_back(send_action{agent.name, std::move(body)});
+    if (found != agents_.end() && found->second.link_up &&
+        found->second.id == agent)
+        actions_.emplace_back(send_action{agent.name, std::move(body)});
 }
 
 std::vector<request_id>
-broker_state::requests_at(const std::string& agent) const {
+broker_state::requests_on(const std::string& agent) const {
     std::vector<request_id> ids;
     for (const auto& [id, state] : requests_) {
         if (state.attempt && state.attempt->agent.name == agent)
@@ -97,9 +98,9 @@
     agent_state& state = agents_[agent.name];
     if (state.id != agent)
         state.reported = false;
-    state.up = true;
+    state.link_up = true;
     state.id = agent;
-    for (const request_id id : requests_at(agent.name))
+    for (const request_id id : requests_on(agent.name))
         resolve(id, agent, started, now);
     for (const request_id id : requests_in(request_phase::choosing))
         dispatch(id, now);
@@ -116,7 +117,7 @@
     }
     // Past the deadline the agent may have forgotten that it started.
     if (state.deadline <= now) {
-        give_up(request, "deadline", now);
+        fail_request(request, "deadline", now);
         return;
     }
     if (!contains(started, attempt.id)) {
@@ -135,21 +136,21 @@
     const auto found = agents_.find(agent);
     if (found == agents_.end())
         return;
-    found->second.up = false;
-    found->second.probe_again = now;
-    for (const request_id id : requests_at(agent)) {
+    found->second.link_up = false;
+    found->second.next_connect_at = now;
+    for (const request_id id : requests_on(agent)) {
         request_state& state = requests_.at(id);
         if (state.phase == request_phase::resolving)
             continue;
-        const bool retries =
-            !state.incoming.non_idempotent && retries_.available() > 0;
-        if (retries) {
+        const bool can_retry =
+            !state.incoming.non_idempotent && retry_budget_.available() > 0;
+        if (can_retry) {
             on_lost(id, "link_lost", now);
             continue;
         }
         state.phase = request_phase::resolving;
-        state.wait_until = std::min(state.deadline, now + resolve_bound);
-        probe(agent, found->second, now);
+        state.phase_deadline = std::min(state.deadline, now + resolve_timeout);
+        connect(agent, found->second, now);
     }
     const agent_state& state = found->second;
     if (!state.listed && state.outstanding == 0)
@@ -159,14 +160,14 @@
 void broker_state::on_load_report(const process_id& from,
                                   const load_report& report, instant now) {
     const auto found = agents_.find(from.name);
-    if (found == agents_.end() || !found->second.up ||
+    if (found == agents_.end() || !found->second.link_up ||
         found->second.id != from || report.agent != from)
         return;
     agent_state& agent = found->second;
     agent.reported = true;
     agent.load = report;
-    agent.load_at = now;
-    agent.outstanding_then = agent.outstanding;
+    agent.load_received_at = now;
+    agent.outstanding_at_report = agent.outstanding;
     for (const request_id id : requests_in(request_phase::choosing))
         dispatch(id, now);
 }
--- a/src/requests/broker_state.cpp
+++ b/src/requests/broker_state.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Time before the deadline at which an attempt without an answer is sealed.
-constexpr milliseconds seal_lead{200};
+constexpr milliseconds seal_margin{200};
 
 /// Deadline of a request whose class the document does not name.
 constexpr milliseconds default_deadline{30'000};
@@ -16,7 +16,8 @@
 /// Time after which a caller may come back after a refusal without another.
 constexpr milliseconds default_retry_after{500};
 
-bool is_at_most_once(const incoming_request& incoming, const service& target) {
+bool is_non_idempotent(const incoming_request& incoming,
+                       const service& target) {
     const auto& routes = target.non_idempotent_routes;
     const std::string route = incoming.path.substr(0, incoming.path.find('?'));
     return incoming.non_idempotent ||
@@ -25,7 +26,7 @@
                routes.end();
 }
 
-std::vector<std::string> names_of(const settings& configuration) {
+std::vector<std::string> witness_names(const settings& configuration) {
     std::vector<std::string> names;
     for (const witness_settings& witness : configuration.cluster.witnesses)
         names.push_back(witness.name);
@@ -54,10 +55,10 @@
                            std::uint64_t seed)
     : self_(std::move(self)),
       subset_size_(configuration.cluster.agents_per_entry),
-      witnesses_(names_of(configuration)),
+      witnesses_(witness_names(configuration)),
       balancer_(configuration.requests.routing, seed),
       admission_(configuration.requests.queue),
-      retries_(configuration.requests.retry_percent), random_(seed) {}
+      retry_budget_(configuration.requests.retry_percent), random_(seed) {}
 
 bool broker_state::idle() const {
     return requests_.empty();
@@ -79,7 +80,7 @@
     state["agents"] = nlohmann::json::object();
     for (const auto& [name, agent] : agents_)
         state["agents"][name] = {{"listed", agent.listed},
-                                 {"up", agent.up},
+                                 {"up", agent.link_up},
                                  {"incarnation", agent.id.incarnation},
                                  {"outstanding", agent.outstanding},
                                  {"reported", agent.reported},
@@ -87,7 +88,7 @@
     state["subsets"] = subsets_;
     state["admission"] = admission_.dump();
     state["leaving"] = leaving_;
-    state["retries_available"] = retries_.available();
+    state["retries_available"] = retry_budget_.available();
     state["answered_total"] = answered_total_;
     state["not_run_total"] = not_run_total_;
     state["unknown_total"] = unknown_total_;
@@ -99,7 +100,7 @@
 void broker_state::set_document(
     std::shared_ptr<const rollout_document> document, instant now) {
     if (document_ && document && document_->number != document->number)
-        superseded_ = std::move(document_);
+        previous_document_ = std::move(document_);
     document_ = std::move(document);
     if (document_ != nullptr)
         admission_.set_document(*document_, now);
@@ -116,57 +117,57 @@
 }
 
 broker_actions broker_state::take_actions() {
-    return std::exchange(out_, {});
+    return std::exchange(actions_, {});
 }
 
 void broker_state::begin(request_id request, incoming_request incoming,
                          instant now) {
     // Before its claim is won, an earlier try of a key may have run.
-    const outcome untried =
+    const outcome early_outcome =
         incoming.idempotency_key.empty() ? outcome::not_run : outcome::unknown;
-    const auto refuse_at_once = [&](const std::string& reason) {
-        refuse(request, untried, reason, default_retry_after, now);
+    const auto refuse_early = [&](const std::string& reason) {
+        refuse(request, early_outcome, reason, default_retry_after, now);
     };
     if (leaving_)
-        return refuse_at_once("leaving");
+        return refuse_early("leaving");
     if (document_ == nullptr)
-        return refuse_at_once("not_in_force");
+        return refuse_early("not_in_force");
     const service* target = document_->find_service(incoming.service);
     if (target == nullptr)
-        return refuse_at_once("unknown_service");
+        return refuse_early("unknown_service");
     request_state state = make_request(std::move(incoming), *target, now);
     const bool claims = state.incoming.non_idempotent;
     if (claims && state.incoming.idempotency_key.empty())
-        return refuse_at_once("idempotency_key_missing");
+        return refuse_early("idempotency_key_missing");
     if (claims && witnesses_.empty())
-        return refuse_at_once("no_witness");
+        return refuse_early("no_witness");
     const admission_ticket ticket{request,        state.incoming.organisation,
                                   target->name,   state.incoming.request_class,
                                   state.priority, state.deadline};
     const admission_decision decision = admission_.offer(ticket, now);
     if (const auto* refused = std::get_if<admission_refused>(&decision))
-        return refuse(request, untried, refused->reason, refused->retry_after,
-                      now);
-    retries_.earn();
+        return refuse(request, early_outcome, refused->reason,
+                      refused->retry_after, now);
+    retry_budget_.deposit();
     requests_.emplace(request, std::move(state));
     if (std::holds_alternative<admission_granted>(decision))
-        enter(request, now);
+        start_request(request, now);
 }
 
-void broker_state::enter(request_id request, instant now) {
+void broker_state::start_request(request_id request, instant now) {
     if (requests_.at(request).incoming.non_idempotent)
         start_claim(request, now);
     else
-        choose_later(request, now);
+        start_choosing(request, now);
 }
 
 void broker_state::admit_waiting(instant now) {
     for (const auto& [name, names] : subsets_)
-        admission_.set_slots(name, slots_of(name, now));
+        admission_.set_slots(name, slot_count(name, now));
     for (const request_id id : admission_.take_hopeless(now))
-        give_up(id, "overloaded", now);
+        fail_request(id, "overloaded", now);
     for (const request_id id : admission_.take_startable(now))
-        enter(id, now);
+        start_request(id, now);
 }
 
 request_state broker_state::make_request(incoming_request incoming,
@@ -174,17 +175,17 @@
                                          instant now) const {
     request_state state;
     state.incoming = std::move(incoming);
-    state.incoming.non_idempotent = is_at_most_once(state.incoming, target);
-    state.engine = target.kind == service_kind::engine;
-    state.streams = state.engine && state.incoming.stream;
-    milliseconds allowed = default_deadline;
+    state.incoming.non_idempotent = is_non_idempotent(state.incoming, target);
+    state.engine_service = target.kind == service_kind::engine;
+    state.streams = state.engine_service && state.incoming.stream;
+    milliseconds timeout = default_deadline;
     const request_class* found =
         document_->find_class(state.incoming.request_class);
     if (found != nullptr) {
-        allowed = found->deadline;
+        timeout = found->deadline;
         state.priority = found->priority;
     }
-    state.deadline = now + allowed;
+    state.deadline = now + timeout;
     return state;
 }
 
@@ -195,13 +196,13 @@
     request_state& state = found->second;
     if (state.attempt)
         send_to_agent(state.attempt->agent, cancel_order{state.attempt->id});
-    else if (!state.unsealed)
+    else if (!state.attempt_lost)
         release_claim(state);
-    forget(request, false, now);
+    remove_request(request, false, now);
 }
 
 void broker_state::tick(instant now) {
-    probe_missing(now);
+    connect_missing(now);
     std::vector<request_id> ids;
     for (const auto& [id, state] : requests_)
         ids.push_back(id);
@@ -213,8 +214,8 @@
     for (const request_id id : requests_in(request_phase::choosing))
         dispatch(id, now);
     for (const request_id id : requests_in(request_phase::resolving)) {
-        if (requests_.at(id).wait_until <= now)
-            give_up(id, "agent_unreachable", now);
+        if (requests_.at(id).phase_deadline <= now)
+            fail_request(id, "agent_unreachable", now);
     }
 }
 
@@ -234,14 +235,14 @@
         if (in_flight)
             send_to_agent(state.attempt->agent,
                           cancel_order{state.attempt->id});
-        give_up(request, "deadline", now);
+        fail_request(request, "deadline", now);
         return;
     }
-    if (!in_flight || state.attempt->begun || state.attempt->seal_sent ||
-        state.deadline - now > seal_lead)
+    if (!in_flight || state.attempt->answer_begun || state.attempt->seal_sent ||
+        state.deadline - now > seal_margin)
         return;
     state.attempt->seal_sent = true;
-    out_.emplace_back(
+    actions_.emplace_back(
         send_action{state.attempt->agent.name, seal_order{state.attempt->id}});
 }
 
@@ -252,14 +253,14 @@
         ++not_run_total_;
     else
         ++unknown_total_;
-    out_.emplace_back(refuse_action{request, result, reason, retry_after});
-    forget(request, false, now);
+    actions_.emplace_back(refuse_action{request, result, reason, retry_after});
+    remove_request(request, false, now);
 }
 
-void broker_state::give_up(request_id request, const std::string& reason,
-                           instant now) {
+void broker_state::fail_request(request_id request, const std::string& reason,
+                                instant now) {
     request_state& state = requests_.at(request);
-    const bool may_have_run = state.unsealed || state.attempt.has_value();
+    const bool may_have_run = state.attempt_lost || state.attempt.has_value();
     const milliseconds retry_after =
         std::max(state.retry_after, default_retry_after);
     // Before its claim is won, an earlier try of a key may have run.
@@ -273,13 +274,14 @@
            reason, retry_after, now);
 }
 
-void broker_state::forget(request_id request, bool answered, instant now) {
+void broker_state::remove_request(request_id request, bool answered,
+                                  instant now) {
     admission_.end(request, answered, now);
     const auto found = requests_.find(request);
     if (found == requests_.end())
         return;
     request_state& state = found->second;
-    attempts_.erase(state.tally.wanted().attempt.sequence);
+    attempts_.erase(state.tally.requested().attempt.sequence);
     end_attempt(state);
     requests_.erase(found);
 }
--- a/src/requests/claim_service.cpp
+++ b/src/requests/claim_service.cpp
@@ -26,8 +26,8 @@
             links_.reply(peer.connection, vote(request));
         });
     links_.on<claim_release>(
-        [this](const link_peer&, const claim_release& given) {
-            release(given);
+        [this](const link_peer&, const claim_release& claim) {
+            release(claim);
         });
     links_.on<recover_request>(
         [this](const link_peer& peer, const recover_request& request) {
@@ -40,7 +40,7 @@
             table_.on_recover_reply(reply, steady::now());
         });
     core_.every("claims", tick_interval, [this] {
-        for (const claim_table::recovery_step& step :
+        for (const claim_table::outgoing_recover_request& step :
              table_.tick(steady::now()))
             links_.send(step.witness, step.body);
     });
@@ -50,16 +50,16 @@
     return table_.on_claim(request, steady::now());
 }
 
-void claim_service::release(const claim_release& given) {
-    table_.on_release(given, steady::now());
+void claim_service::release(const claim_release& claim) {
+    table_.on_release(claim, steady::now());
 }
 
 nlohmann::json claim_service::dump() const {
     return table_.dump(steady::now());
 }
 
-void claim_service::recovered_fresh() {
-    table_.recovered_fresh();
+void claim_service::skip_recovery() {
+    table_.skip_recovery();
 }
 
 } // namespace ospreystage
--- a/src/requests/claim_table.cpp
+++ b/src/requests/claim_table.cpp
@@ -23,18 +23,19 @@
 claim_table::claim_table(process_id self, std::vector<std::string> witnesses,
                          milliseconds retention, instant now, std::size_t limit)
     : self_(std::move(self)), witnesses_(std::move(witnesses)),
-      retention_(retention), limit_(limit), started_(now), next_request_(now) {}
+      retention_(retention), limit_(limit), started_(now),
+      next_recovery_at_(now) {}
 
 // ---- Observers -------------------------------------------------------------
 
 bool claim_table::is_recovered(instant now) const {
-    if (fresh_ || now - started_ >= retention_)
+    if (recovery_skipped_ || now - started_ >= retention_)
         return true;
     if (witnesses_.size() < 2)
         return false;
     return std::all_of(
         witnesses_.begin(), witnesses_.end(), [&](const std::string& witness) {
-            return witness == self_.name || answered_.contains(witness);
+            return witness == self_.name || recovered_from_.contains(witness);
         });
 }
 
@@ -43,10 +44,11 @@
         return true;
     const std::vector<std::string> voters = claim_voters(key, witnesses_);
     return voters.size() > 1 &&
-           std::all_of(
-               voters.begin(), voters.end(), [&](const std::string& voter) {
-                   return voter == self_.name || answered_.contains(voter);
-               });
+           std::all_of(voters.begin(), voters.end(),
+                       [&](const std::string& voter) {
+                           return voter == self_.name ||
+                                  recovered_from_.contains(voter);
+                       });
 }
 
 std::size_t claim_table::size() const noexcept {
@@ -60,27 +62,27 @@
     state["claims"] = size();
     state["limit"] = limit_;
     state["refused_full"] = refused_full_;
-    state["answered"] = answered_;
-    state["known"] = known_;
+    state["answered"] = recovered_from_;
+    state["known"] = newest_incarnations_;
     return state;
 }
 
 // ---- Inputs ----------------------------------------------------------------
 
-void claim_table::recovered_fresh() {
-    fresh_ = true;
+void claim_table::skip_recovery() {
+    recovery_skipped_ = true;
 }
 
 claim_reply claim_table::on_claim(const claim_request& request, instant now) {
-    forget_old(now);
+    evict_expired(now);
     claim_reply reply;
     reply.asked = request.record.attempt;
     reply.witness = self_;
-    reply.known = known();
-    const std::uint64_t meant = request.witness.incarnation;
+    reply.known = newest_incarnations();
+    const std::uint64_t incarnation = request.witness.incarnation;
     reply.recovering = !may_vote(request.record.key, now) ||
                        request.witness.name != self_.name ||
-                       (meant != 0 && meant != self_.incarnation);
+                       (incarnation != 0 && incarnation != self_.incarnation);
     if (reply.recovering)
         return reply;
     const claim_key& key = request.record.key;
@@ -94,7 +96,7 @@
         record.age_ms = 0;
         store(record, now);
     }
-    const claims& held = claims_.at(key);
+    const claim_list& held = claims_.at(key);
     reply.recovering = held.size() > 1;
     if (!reply.recovering)
         reply.held = held.front().record;
@@ -102,11 +104,11 @@
 }
 
 void claim_table::on_release(const claim_release& release, instant now) {
-    forget_old(now);
+    evict_expired(now);
     const auto found = claims_.find(release.key);
     if (found == claims_.end())
         return;
-    claims& held = found->second;
+    claim_list& held = found->second;
     // Which of contradicting claims was dispatched is not known.
     if (held.size() > 1)
         return;
@@ -124,8 +126,8 @@
 
 std::vector<recover_reply>
 claim_table::on_recover_request(const recover_request& request, instant now) {
-    forget_old(now);
-    learn(request.witness);
+    evict_expired(now);
+    record_incarnation(request.witness);
     recover_reply page;
     page.sender = self_;
     page.witness = request.witness;
@@ -134,13 +136,13 @@
     std::vector<recover_reply> pages;
     if (!page.recovering) {
         for (const auto& [key, held] : claims_) {
-            if (!shares(key, request.witness.name))
+            if (!is_voter(key, request.witness.name))
                 continue;
             for (const stored_claim& stored : held) {
                 claim_record record = stored.record;
-                const auto left =
+                const auto remaining =
                     std::chrono::ceil<milliseconds>(stored.expires - now);
-                record.age_ms = to_wire(retention_ - left);
+                record.age_ms = to_wire(retention_ - remaining);
                 page.records.push_back(std::move(record));
             }
             if (page.records.size() >= records_per_page) {
@@ -157,27 +159,28 @@
 void claim_table::on_recover_reply(const recover_reply& reply, instant now) {
     if (reply.witness != self_ || reply.sender.name == self_.name)
         return;
-    learn(reply.sender);
+    record_incarnation(reply.sender);
     if (reply.recovering ||
-        reply.sender.incarnation < known_.at(reply.sender.name))
+        reply.sender.incarnation < newest_incarnations_.at(reply.sender.name))
         return;
     // A recovered witness decides by its own records only.
-    if (is_recovered(now) || answered_.contains(reply.sender.name))
+    if (is_recovered(now) || recovered_from_.contains(reply.sender.name))
         return;
     for (const claim_record& record : reply.records)
         store(record, now);
     if (reply.last)
-        answered_.insert(reply.sender.name);
+        recovered_from_.insert(reply.sender.name);
 }
 
-std::vector<claim_table::recovery_step> claim_table::tick(instant now) {
-    forget_old(now);
-    std::vector<recovery_step> steps;
-    if (now < next_request_ || is_recovered(now))
+std::vector<claim_table::outgoing_recover_request>
+claim_table::tick(instant now) {
+    evict_expired(now);
+    std::vector<outgoing_recover_request> steps;
+    if (now < next_recovery_at_ || is_recovered(now))
         return steps;
-    next_request_ = now + recovery_interval;
+    next_recovery_at_ = now + recovery_interval;
     for (const std::string& witness : witnesses_) {
-        if (witness != self_.name && !answered_.contains(witness))
+        if (witness != self_.name && !recovered_from_.contains(witness))
             steps.push_back({witness, recover_request{self_}});
     }
     return steps;
@@ -185,8 +188,8 @@
 
 // ---- Details ---------------------------------------------------------------
 
-void claim_table::learn(const process_id& witness) {
-    std::uint64_t& newest = known_[witness.name];
+void claim_table::record_incarnation(const process_id& witness) {
+    std::uint64_t& newest = newest_incarnations_[witness.name];
     newest = std::max(newest, witness.incarnation);
 }
 
@@ -194,24 +197,24 @@
     const instant expires = now - milliseconds{record.age_ms} + retention_;
     if (expires <= now)
         return;
-    claims& held = claims_[record.key];
-    const bool repeated =
+    claim_list& held = claims_[record.key];
+    const bool known =
         std::any_of(held.begin(), held.end(), [&](const stored_claim& stored) {
             return stored.record.attempt == record.attempt;
         });
-    if (repeated)
+    if (known)
         return;
     held.push_back({record, expires});
     expiry_.emplace(expires, record.key, record.attempt);
 }
 
-bool claim_table::shares(const claim_key& key,
-                         const std::string& witness) const {
+bool claim_table::is_voter(const claim_key& key,
+                           const std::string& witness) const {
     const std::vector<std::string> voters = claim_voters(key, witnesses_);
     return std::find(voters.begin(), voters.end(), witness) != voters.end();
 }
 
-void claim_table::forget_old(instant now) {
+void claim_table::evict_expired(instant now) {
     while (!expiry_.empty() && std::get<instant>(*expiry_.begin()) <= now) {
         const claim_key key = std::get<claim_key>(*expiry_.begin());
         expiry_.erase(expiry_.begin());
@@ -226,9 +229,9 @@
     }
 }
 
-std::vector<process_id> claim_table::known() const {
+std::vector<process_id> claim_table::newest_incarnations() const {
     std::vector<process_id> witnesses;
-    for (const auto& [name, incarnation] : known_)
+    for (const auto& [name, incarnation] : newest_incarnations_)
         witnesses.push_back({name, incarnation});
     return witnesses;
 }
--- a/src/requests/request_service.cpp
+++ b/src/requests/request_service.cpp
@@ -8,9 +8,9 @@
 namespace ospreystage {
 
 request_service::request_service(kernel& core, const settings& configuration,
-                                 callback deliver)
+                                 callback on_event)
     : core_(core), links_(core.find<links>("links")),
-      to_caller_(std::move(deliver)),
+      on_event_(std::move(on_event)),
       broker_(links_.self(), configuration, links_.self().incarnation) {}
 
 void request_service::start() {
@@ -76,30 +76,31 @@
 }
 
 void request_service::perform(broker::actions actions) {
-    for (broker_action& each : actions) {
+    for (broker_action& next : actions) {
         std::visit(
             [this](auto& action) {
                 using type = std::decay_t<decltype(action)>;
                 if constexpr (std::is_same_v<type, send_action>)
-                    deliver(action.process, action.body);
-                else if constexpr (std::is_same_v<type, probe_action>)
-                    probe(action.agent);
+                    send_message(action.process, action.body);
+                else if constexpr (std::is_same_v<type, connect_action>)
+                    connect(action.agent);
                 else {
                     const request_id id = action.request;
-                    to_caller_(id, std::move(action));
+                    on_event_(id, std::move(action));
                 }
             },
-            each);
+            next);
     }
 }
 
-void request_service::deliver(const std::string& process, const message& body) {
+void request_service::send_message(const std::string& process,
+                                   const message& body) {
     // Never queued for a later connection: the broker was told which links
     // are up, and a lost message is resolved when the link comes up again.
     if (std::holds_alternative<claim_request>(body) ||
         std::holds_alternative<claim_release>(body)) {
         if (process == links_.self().name)
-            deliver_to_own_claim_table(body);
+            send_to_local_claim_table(body);
         else
             links_.send(process, body);
         return;
@@ -109,7 +110,7 @@
         links_.reply(peer->connection, body);
 }
 
-void request_service::deliver_to_own_claim_table(const message& body) {
+void request_service::send_to_local_claim_table(const message& body) {
     // Posted, since the broker is still carrying out its actions.
     core_.post("requests", [this, body] {
         auto* claims = core_.find_if<claim_service>("claims");
@@ -123,7 +124,7 @@
     });
 }
 
-void request_service::probe(const std::string& agent) {
+void request_service::connect(const std::string& agent) {
     if (links_.find(agent) || links_.open(agent))
         return;
     core_.post("requests", [this, agent] {
--- a/src/requests/retry_budget.cpp
+++ b/src/requests/retry_budget.cpp
@@ -9,28 +9,30 @@
 constexpr std::uint32_t hundredths_per_retry = 100;
 
 /// Retries kept at most; also what a new budget starts with.
-constexpr std::uint32_t max_kept_retries = 10;
+constexpr std::uint32_t max_stored_retries = 10;
 
 constexpr std::uint32_t max_hundredths =
-    max_kept_retries * hundredths_per_retry;
+    max_stored_retries * hundredths_per_retry;
 
 } // namespace
 
 retry_budget::retry_budget(std::uint32_t percent) noexcept
-    : percent_(percent), hundredths_(percent == 0 ? 0 : max_hundredths) {}
+    : percent_(percent),
+      balance_hundredths_(percent == 0 ? 0 : max_hundredths) {}
 
 std::uint32_t retry_budget::available() const noexcept {
-    return hundredths_ / hundredths_per_retry;
+    return balance_hundredths_ / hundredths_per_retry;
 }
 
-void retry_budget::earn() noexcept {
-    hundredths_ = std::min(hundredths_ + percent_, max_hundredths);
+void retry_budget::deposit() noexcept {
+    balance_hundredths_ =
+        std::min(balance_hundredths_ + percent_, max_hundredths);
 }
 
-bool retry_budget::spend() noexcept {
-    if (hundredths_ < hundredths_per_retry)
+bool retry_budget::try_withdraw() noexcept {
+    if (balance_hundredths_ < hundredths_per_retry)
         return false;
-    hundredths_ -= hundredths_per_retry;
+    balance_hundredths_ -= hundredths_per_retry;
     return true;
 }
 
--- a/tests/admission.cpp
+++ b/tests/admission.cpp
@@ -196,16 +196,16 @@
 TEST_CASE("admission - retries are bounded by recent requests") {
     retry_budget budget(10);
     int first = 0;
-    while (budget.spend())
+    while (budget.try_withdraw())
         ++first;
     CHECK(first == 10);
     int spent = 0;
     for (int request = 0; request < 1000; ++request) {
-        budget.earn();
-        spent += budget.spend() ? 1 : 0;
+        budget.deposit();
+        spent += budget.try_withdraw() ? 1 : 0;
     }
     CHECK(spent == 100);
     retry_budget none(0);
-    none.earn();
-    CHECK_FALSE(none.spend());
+    none.deposit();
+    CHECK_FALSE(none.try_withdraw());
 }
--- a/tests/bench/claims.cpp
+++ b/tests/bench/claims.cpp
@@ -67,7 +67,7 @@
             names.push_back(fmt::format("w-{}", index));
         for (std::size_t index = 0; index < witness_count; ++index) {
             start(index, instant{});
-            tables[index]->recovered_fresh();
+            tables[index]->skip_recovery();
         }
     }
 
@@ -122,8 +122,8 @@
                 if (up_at[index] > now)
                     continue;
                 ++costs.messages;
-                tally.add(
-                    tables[index]->on_claim({tally.wanted(), {voter, 0}}, now));
+                tally.add(tables[index]->on_claim(
+                    {tally.requested(), {voter, 0}}, now));
             }
         }
         std::vector<bool> won(2, false);
@@ -135,7 +135,7 @@
                 ++costs.messages;
                 if (up_at[index_of(voter)] <= now)
                     tables[index_of(voter)]->on_release(
-                        {id, tallies[index].wanted().attempt}, now);
+                        {id, tallies[index].requested().attempt}, now);
             }
         }
         return {won[0], won[1]};
--- a/tests/broker.cpp
+++ b/tests/broker.cpp
@@ -60,7 +60,7 @@
     return report;
 }
 
-incoming_request streamed() {
+incoming_request streamed_request() {
     incoming_request value;
     value.organisation = "board";
     value.service = "pool";
@@ -71,14 +71,14 @@
     return value;
 }
 
-incoming_request buffered() {
-    incoming_request value = streamed();
+incoming_request buffered_request() {
+    incoming_request value = streamed_request();
     value.stream = false;
     return value;
 }
 
-incoming_request claimed() {
-    incoming_request value = buffered();
+incoming_request non_idempotent_request() {
+    incoming_request value = buffered_request();
     value.service = "records";
     value.path = "/sanction";
     value.idempotency_key = "key-1";
@@ -89,8 +89,8 @@
 std::vector<Action> all(const broker::actions& actions) {
     std::vector<Action> found;
     for (const auto& action : actions) {
-        if (const auto* wanted = std::get_if<Action>(&action))
-            found.push_back(*wanted);
+        if (const auto* match = std::get_if<Action>(&action))
+            found.push_back(*match);
     }
     return found;
 }
@@ -166,7 +166,7 @@
 
 TEST_CASE("broker - a whole answer reaches its caller") {
     fixture entry({agent_a});
-    const run_order order = entry.begin(buffered());
+    const run_order order = entry.begin(buffered_request());
     CHECK(order.version == version_a);
     CHECK(order.agent == agent_a);
     const attempt_id id = order.attempt;
@@ -187,7 +187,7 @@
 
 TEST_CASE("broker - frames of another incarnation or attempt are dropped") {
     fixture entry({agent_a});
-    const attempt_id id = entry.begin(buffered()).attempt;
+    const attempt_id id = entry.begin(buffered_request()).attempt;
     const process_id older{"vm-a", 10};
     const answer_begin begin{id, 200, "text/plain", version_a};
     CHECK(entry.value.on_message(older, begin, start).empty());
@@ -203,7 +203,7 @@
 
 TEST_CASE("broker - a truncated answer is never shown as complete") {
     fixture entry({agent_a});
-    const attempt_id id = entry.begin(streamed()).attempt;
+    const attempt_id id = entry.begin(streamed_request()).attempt;
     const answer_begin begin{id, 200, "text/plain", version_a};
     CHECK(
         all<answer_begin_action>(entry.value.on_message(agent_a, begin, start))
@@ -219,7 +219,7 @@
 
 TEST_CASE("broker - a gap in the parts ends the attempt") {
     fixture entry({agent_a, agent_b});
-    const run_order order = entry.begin(streamed());
+    const run_order order = entry.begin(streamed_request());
     const attempt_id id = order.attempt;
     const answer_begin begin{id, 200, "text/plain", version_a};
     static_cast<void>(entry.value.on_message(order.agent, begin, start));
@@ -234,7 +234,7 @@
 
 TEST_CASE("broker - an answer of another version is not passed on") {
     fixture entry({agent_a, agent_b});
-    const run_order order = entry.begin(streamed());
+    const run_order order = entry.begin(streamed_request());
     const answer_begin begin{order.attempt, 200, "text/plain", version_b};
     const auto actions = entry.value.on_message(order.agent, begin, start);
     CHECK(all<answer_begin_action>(actions).empty());
@@ -244,7 +244,7 @@
 
 TEST_CASE("broker - a broken stream continues after the tokens passed on") {
     fixture entry({agent_a, agent_b});
-    const run_order first = entry.begin(streamed());
+    const run_order first = entry.begin(streamed_request());
     const answer_begin begin{first.attempt, 200, "text/plain", version_a};
     static_cast<void>(entry.value.on_message(first.agent, begin, start));
     static_cast<void>(entry.value.on_message(
@@ -271,7 +271,7 @@
 
 TEST_CASE("broker - a stream whose version is held nowhere else is unknown") {
     fixture entry({agent_a, agent_b});
-    const run_order first = entry.begin(streamed());
+    const run_order first = entry.begin(streamed_request());
     const process_id other = first.agent == agent_a ? agent_b : agent_a;
     load_report changed = report_of(other);
     changed.versions = {version_b};
@@ -285,7 +285,7 @@
 
 TEST_CASE("broker - an attempt that was refused is not run, then tried again") {
     fixture entry({agent_a, agent_b});
-    const run_order first = entry.begin(buffered());
+    const run_order first = entry.begin(buffered_request());
     auto actions = entry.value.on_message(
         first.agent, run_refused{first.attempt, refusal::leaving, 0}, start);
     const auto orders = sent<run_order>(actions);
@@ -303,7 +303,7 @@
     broker value(self, broker_settings(), 1);
     value.set_document(pool_document(), start);
     const refuse_action refusal =
-        only_refusal(value.begin(1, buffered(), start));
+        only_refusal(value.begin(1, buffered_request(), start));
     CHECK(refusal.result == outcome::not_run);
     CHECK(refusal.retry_after > milliseconds{0});
     CHECK(value.idle());
@@ -313,8 +313,8 @@
     broker value(self, broker_settings(), 1);
     value.set_document(pool_document(), start);
     value.set_agents({agent_member(agent_a)});
-    CHECK(all<probe_action>(value.tick(start)).size() == 1);
-    CHECK(sent<run_order>(value.begin(1, buffered(), start)).empty());
+    CHECK(all<connect_action>(value.tick(start)).size() == 1);
+    CHECK(sent<run_order>(value.begin(1, buffered_request(), start)).empty());
     CHECK(value.on_link_up(agent_a, {}, start).empty());
     const auto actions = value.on_message(agent_a, report_of(agent_a), start);
     CHECK(sent<run_order>(actions).size() == 1);
@@ -324,7 +324,7 @@
     broker value(self, broker_settings(), 1);
     value.set_document(pool_document(), start);
     value.set_agents({agent_member(agent_a)});
-    static_cast<void>(value.begin(1, buffered(), start));
+    static_cast<void>(value.begin(1, buffered_request(), start));
     CHECK(all<refuse_action>(value.tick(start + milliseconds{1000})).empty());
     const auto actions = value.tick(start + milliseconds{1500});
     CHECK(only_refusal(actions).result == outcome::not_run);
@@ -332,10 +332,11 @@
 
 TEST_CASE("broker - a leaving entry refuses and ends what it has") {
     fixture entry({agent_a});
-    const attempt_id id = entry.begin(buffered()).attempt;
+    const attempt_id id = entry.begin(buffered_request()).attempt;
     entry.value.set_leaving();
-    CHECK(only_refusal(entry.value.begin(2, buffered(), start)).reason ==
-          "leaving");
+    CHECK(
+        only_refusal(entry.value.begin(2, buffered_request(), start)).reason ==
+        "leaving");
     CHECK_FALSE(entry.value.idle());
     const answer_begin begin{id, 200, "text/plain", version_a};
     static_cast<void>(entry.value.on_message(agent_a, begin, start));
@@ -346,7 +347,7 @@
 
 TEST_CASE("broker - the deadline in the middle ends the request at once") {
     fixture entry({agent_a});
-    const attempt_id id = entry.begin(buffered()).attempt;
+    const attempt_id id = entry.begin(buffered_request()).attempt;
     const auto early = entry.value.tick(start + milliseconds{29'850});
     CHECK(sent<seal_order>(early).size() == 1);
     SECTION("sealed in time: not run") {
@@ -365,7 +366,7 @@
 
 TEST_CASE("broker - a caller that went away cancels its attempt") {
     fixture entry({agent_a});
-    const attempt_id id = entry.begin(buffered()).attempt;
+    const attempt_id id = entry.begin(buffered_request()).attempt;
     const auto actions = entry.value.cancel(1, start);
     REQUIRE(sent<cancel_order>(actions).size() == 1);
     CHECK(sent<cancel_order>(actions).front().attempt == id);
@@ -375,10 +376,10 @@
 
 TEST_CASE("broker - a non-idempotent request runs only after it won its key") {
     fixture entry({agent_a});
-    const auto asked = entry.value.begin(1, claimed(), start);
-    CHECK(sent<run_order>(asked).empty());
-    CHECK(sent<claim_request>(asked).size() == 3);
-    const auto orders = sent<run_order>(entry.vote(asked));
+    const auto claims = entry.value.begin(1, non_idempotent_request(), start);
+    CHECK(sent<run_order>(claims).empty());
+    CHECK(sent<claim_request>(claims).size() == 3);
+    const auto orders = sent<run_order>(entry.vote(claims));
     REQUIRE(orders.size() == 1);
     CHECK(orders.front().non_idempotent);
     const auto failed = entry.value.on_message(
@@ -391,8 +392,8 @@
 TEST_CASE("broker - a key that another attempt holds is unknown") {
     fixture entry({agent_a});
     const attempt_id other{{"entry-2", 1}, 9};
-    const auto asked = entry.value.begin(1, claimed(), start);
-    const auto actions = entry.vote(asked, other);
+    const auto claims = entry.value.begin(1, non_idempotent_request(), start);
+    const auto actions = entry.vote(claims, other);
     CHECK(sent<run_order>(actions).empty());
     const refuse_action refusal = only_refusal(actions);
     CHECK(refusal.result == outcome::unknown);
@@ -402,16 +403,16 @@
 TEST_CASE("broker - a key used with another body is refused") {
     fixture entry({agent_a});
     const attempt_id other{{"entry-2", 1}, 9};
-    const auto asked = entry.value.begin(1, claimed(), start);
+    const auto claims = entry.value.begin(1, non_idempotent_request(), start);
     const auto refusal =
-        only_refusal(entry.vote(asked, other, digest(64, 'c')));
+        only_refusal(entry.vote(claims, other, digest(64, 'c')));
     CHECK(refusal.result == outcome::not_run);
     CHECK(refusal.reason == "key_reused");
 }
 
 TEST_CASE("broker - a vote that does not come ends as unknown and releases") {
     fixture entry({agent_a});
-    static_cast<void>(entry.value.begin(1, claimed(), start));
+    static_cast<void>(entry.value.begin(1, non_idempotent_request(), start));
     const auto again = entry.value.tick(start + milliseconds{300});
     CHECK(sent<claim_request>(again).size() == 3);
     const auto actions = entry.value.tick(start + milliseconds{1000});
@@ -423,9 +424,9 @@
 TEST_CASE("broker - a key refused before its claim is not told not-run") {
     fixture entry({agent_a});
     entry.value.set_leaving();
-    const auto keyed = entry.value.begin(1, claimed(), start);
+    const auto keyed = entry.value.begin(1, non_idempotent_request(), start);
     CHECK(only_refusal(keyed).result == outcome::unknown);
-    incoming_request plain = claimed();
+    incoming_request plain = non_idempotent_request();
     plain.non_idempotent = false;
     plain.idempotency_key.clear();
     const auto unkeyed = entry.value.begin(2, plain, start);
@@ -434,10 +435,10 @@
 
 TEST_CASE("broker - a lost link is resolved by what the agent has started") {
     fixture entry({agent_a});
-    const auto asked = entry.value.begin(1, claimed(), start);
-    const attempt_id id = sent<run_order>(entry.vote(asked)).front().attempt;
+    const auto claims = entry.value.begin(1, non_idempotent_request(), start);
+    const attempt_id id = sent<run_order>(entry.vote(claims)).front().attempt;
     const auto down = entry.value.on_link_down("vm-a", start);
-    CHECK(all<probe_action>(down).size() == 1);
+    CHECK(all<connect_action>(down).size() == 1);
     CHECK(all<refuse_action>(down).empty());
     SECTION("not started: a new attempt may run under the same claim") {
         const auto actions = entry.value.on_link_up(agent_a, {}, start);
--- a/tests/claim.cpp
+++ b/tests/claim.cpp
@@ -12,7 +12,7 @@
 
 const instant start{std::chrono::hours{1}};
 constexpr milliseconds retention{600'000};
-const std::vector<std::string> three{"w-1", "w-2", "w-3"};
+const std::vector<std::string> three_witnesses{"w-1", "w-2", "w-3"};
 const attempt_id attempt_a{{"entry-1", 1}, 1};
 const attempt_id attempt_b{{"entry-2", 1}, 1};
 
@@ -22,10 +22,10 @@
     return {{organisation, key}, digest(64, 'd'), attempt, 0};
 }
 
-claim_table fresh_table(const std::string& name,
-                        std::uint64_t incarnation = 1) {
-    claim_table table({name, incarnation}, three, retention, start);
-    table.recovered_fresh();
+claim_table recovered_table(const std::string& name,
+                            std::uint64_t incarnation = 1) {
+    claim_table table({name, incarnation}, three_witnesses, retention, start);
+    table.skip_recovery();
     return table;
 }
 
@@ -63,14 +63,14 @@
 }
 
 TEST_CASE("claim - the first recorded attempt keeps its key") {
-    claim_table table = fresh_table("w-1");
+    claim_table table = recovered_table("w-1");
     CHECK(claim(table, record_of(attempt_a), "w-1").held.attempt == attempt_a);
     CHECK(claim(table, record_of(attempt_b), "w-1").held.attempt == attempt_a);
     CHECK(claim(table, record_of(attempt_a), "w-1").held.attempt == attempt_a);
 }
 
 TEST_CASE("claim - two organisations may use the same key") {
-    claim_table table = fresh_table("w-1");
+    claim_table table = recovered_table("w-1");
     static_cast<void>(claim(table, record_of(attempt_a), "w-1"));
     const claim_record other = record_of(attempt_b, "key", "tokachi");
     CHECK(claim(table, other, "w-1").held.attempt == attempt_b);
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE("claim - a release frees the key for its own attempt only") {
-    claim_table table = fresh_table("w-1");
+    claim_table table = recovered_table("w-1");
     static_cast<void>(claim(table, record_of(attempt_a), "w-1"));
     table.on_release({{"board", "key"}, attempt_b}, start);
     CHECK(claim(table, record_of(attempt_b), "w-1").held.attempt == attempt_a);
@@ -87,7 +87,7 @@
 }
 
 TEST_CASE("claim - a key is kept for the retention and not longer") {
-    claim_table table = fresh_table("w-1");
+    claim_table table = recovered_table("w-1");
     static_cast<void>(claim(table, record_of(attempt_a), "w-1"));
     const instant last = start + retention - milliseconds{1};
     CHECK(claim(table, record_of(attempt_b), "w-1", last).held.attempt ==
@@ -98,8 +98,8 @@
 }
 
 TEST_CASE("claim - a full ledger refuses and forgets nothing") {
-    claim_table table({"w-1", 1}, three, retention, start, 2);
-    table.recovered_fresh();
+    claim_table table({"w-1", 1}, three_witnesses, retention, start, 2);
+    table.skip_recovery();
     static_cast<void>(claim(table, record_of(attempt_a, "1"), "w-1"));
     static_cast<void>(claim(table, record_of(attempt_a, "2"), "w-1"));
     CHECK(claim(table, record_of(attempt_a, "3"), "w-1").recovering);
@@ -110,17 +110,17 @@
 }
 
 TEST_CASE("claim - a claim meant for another incarnation gets no vote") {
-    claim_table table = fresh_table("w-1", 2);
+    claim_table table = recovered_table("w-1", 2);
     CHECK(table.on_claim({record_of(attempt_a), {"w-1", 1}}, start).recovering);
     CHECK(table.size() == 0);
 }
 
 TEST_CASE("claim - a restarted voter does not vote before it is recovered") {
-    claim_table first = fresh_table("w-1");
-    claim_table third = fresh_table("w-3");
+    claim_table first = recovered_table("w-1");
+    claim_table third = recovered_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
     const process_id again{"w-2", 2};
-    claim_table second(again, three, retention, start);
+    claim_table second(again, three_witnesses, retention, start);
     CHECK(claim(second, record_of(attempt_b), "w-2").recovering);
     CHECK(second.tick(start).size() == 2);
     recover(second, again, third);
@@ -135,9 +135,9 @@
 TEST_CASE("claim - an answer of a recovering voter does not count") {
     const process_id one{"w-1", 2};
     const process_id two{"w-2", 2};
-    claim_table first(one, three, retention, start);
-    claim_table second(two, three, retention, start);
-    claim_table third = fresh_table("w-3");
+    claim_table first(one, three_witnesses, retention, start);
+    claim_table second(two, three_witnesses, retention, start);
+    claim_table third = recovered_table("w-3");
     recover(first, one, second);
     recover(second, two, first);
     recover(first, one, third);
@@ -148,9 +148,9 @@
 }
 
 TEST_CASE("claim - an answer to an earlier incarnation does not count") {
-    claim_table second({"w-2", 3}, three, retention, start);
-    claim_table first = fresh_table("w-1");
-    claim_table third = fresh_table("w-3");
+    claim_table second({"w-2", 3}, three_witnesses, retention, start);
+    claim_table first = recovered_table("w-1");
+    claim_table third = recovered_table("w-3");
     for (const auto& page : first.on_recover_request({{"w-2", 2}}, start))
         second.on_recover_reply(page, start);
     for (const auto& page : third.on_recover_request({{"w-2", 2}}, start))
@@ -166,12 +166,12 @@
 }
 
 TEST_CASE("claim - recovered claims that contradict give no vote") {
-    claim_table first = fresh_table("w-1");
-    claim_table third = fresh_table("w-3");
+    claim_table first = recovered_table("w-1");
+    claim_table third = recovered_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
     static_cast<void>(claim(third, record_of(attempt_b), "w-3"));
     const process_id again{"w-2", 2};
-    claim_table second(again, three, retention, start);
+    claim_table second(again, three_witnesses, retention, start);
     recover(second, again, first);
     recover(second, again, third);
     CHECK(second.is_recovered(start));
@@ -189,7 +189,7 @@
     std::map<std::string, claim_table> tables;
     for (const std::string& name : five) {
         claim_table table({name, 1}, five, retention, start);
-        table.recovered_fresh();
+        table.skip_recovery();
         tables.emplace(name, std::move(table));
     }
     const process_id again_1{"w-1", 2};
@@ -224,12 +224,12 @@
 }
 
 TEST_CASE("claim - a recovery answer keeps the age of its records") {
-    claim_table first = fresh_table("w-1");
-    claim_table third = fresh_table("w-3");
+    claim_table first = recovered_table("w-1");
+    claim_table third = recovered_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
     const instant later = start + milliseconds{400'000};
     const process_id again{"w-2", 2};
-    claim_table second(again, three, retention, later);
+    claim_table second(again, three_witnesses, retention, later);
     recover(second, again, first, later);
     recover(second, again, third, later);
     CHECK(second.size() == 1);
@@ -240,13 +240,13 @@
 }
 
 TEST_CASE("claim - a large recovery comes in pages") {
-    claim_table first = fresh_table("w-1");
-    claim_table third = fresh_table("w-3");
+    claim_table first = recovered_table("w-1");
+    claim_table third = recovered_table("w-3");
     for (int index = 0; index < 9000; ++index)
         static_cast<void>(
             claim(first, record_of(attempt_a, std::to_string(index)), "w-1"));
     const process_id again{"w-2", 2};
-    claim_table second(again, three, retention, start);
+    claim_table second(again, three_witnesses, retention, start);
     recover(second, again, third);
     const auto pages = first.on_recover_request({again}, start);
     REQUIRE(pages.size() == 3);
@@ -259,14 +259,14 @@
 }
 
 TEST_CASE("claim - two of three votes win") {
-    claim_tally tally(record_of(attempt_a), three);
+    claim_tally tally(record_of(attempt_a), three_witnesses);
     tally.add(vote_of({"w-1", 1}, attempt_a, attempt_a));
-    CHECK(tally.verdict() == claim_verdict::open);
-    CHECK(tally.missing() == std::vector<std::string>{"w-2", "w-3"});
+    CHECK(tally.verdict() == claim_verdict::undecided);
+    CHECK(tally.missing_voters() == std::vector<std::string>{"w-2", "w-3"});
     tally.add(vote_of({"w-1", 1}, attempt_a, attempt_a));
     tally.add(vote_of({"w-9", 1}, attempt_a, attempt_a));
     tally.add(vote_of({"w-2", 1}, attempt_b, attempt_a));
-    CHECK(tally.verdict() == claim_verdict::open);
+    CHECK(tally.verdict() == claim_verdict::undecided);
     tally.add(vote_of({"w-3", 1}, attempt_a, attempt_a));
     CHECK(tally.verdict() == claim_verdict::won);
 }
@@ -274,7 +274,7 @@
 TEST_CASE("claim - two witnesses must agree, one decides alone") {
     claim_tally pair(record_of(attempt_a), {"w-1", "w-2"});
     pair.add(vote_of({"w-1", 1}, attempt_a, attempt_a));
-    CHECK(pair.verdict() == claim_verdict::open);
+    CHECK(pair.verdict() == claim_verdict::undecided);
     pair.add(vote_of({"w-2", 1}, attempt_a, attempt_b));
     CHECK(pair.verdict() == claim_verdict::split);
     claim_tally alone(record_of(attempt_a), {"w-1"});
@@ -283,37 +283,37 @@
 }
 
 TEST_CASE("claim - three different votes are split") {
-    claim_tally tally(record_of(attempt_a), three);
+    claim_tally tally(record_of(attempt_a), three_witnesses);
     tally.add(vote_of({"w-1", 1}, attempt_a, attempt_a));
     tally.add(vote_of({"w-2", 1}, attempt_a, attempt_b));
-    CHECK(tally.verdict() == claim_verdict::open);
+    CHECK(tally.verdict() == claim_verdict::undecided);
     tally.add(vote_of({"w-3", 1}, attempt_a, {{"entry-3", 1}, 1}));
     CHECK(tally.verdict() == claim_verdict::split);
 }
 
 TEST_CASE("claim - a majority for another attempt takes the key") {
-    claim_tally tally(record_of(attempt_a), three);
+    claim_tally tally(record_of(attempt_a), three_witnesses);
     tally.add(vote_of({"w-1", 1}, attempt_a, attempt_b));
     tally.add(vote_of({"w-2", 1}, attempt_a, attempt_b));
     CHECK(tally.verdict() == claim_verdict::taken);
     claim_record other = record_of(attempt_a);
     other.body = digest(64, 'e');
-    claim_tally reused(other, three);
+    claim_tally reused(other, three_witnesses);
     reused.add(vote_of({"w-1", 1}, attempt_a, attempt_b));
     reused.add(vote_of({"w-2", 1}, attempt_a, attempt_b));
     CHECK(reused.verdict() == claim_verdict::key_reused);
 }
 
 TEST_CASE("claim - a vote of a lost incarnation does not count") {
-    claim_tally tally(record_of(attempt_a), three);
+    claim_tally tally(record_of(attempt_a), three_witnesses);
     tally.add(vote_of({"w-2", 1}, attempt_a, attempt_a));
     claim_reply later = vote_of({"w-1", 1}, attempt_a, attempt_a);
     later.known = {{"w-2", 2}};
     tally.add(later);
-    CHECK(tally.verdict() == claim_verdict::open);
-    CHECK(tally.missing() == std::vector<std::string>{"w-2", "w-3"});
+    CHECK(tally.verdict() == claim_verdict::undecided);
+    CHECK(tally.missing_voters() == std::vector<std::string>{"w-2", "w-3"});
     tally.add(vote_of({"w-2", 1}, attempt_a, attempt_a));
-    CHECK(tally.verdict() == claim_verdict::open);
+    CHECK(tally.verdict() == claim_verdict::undecided);
     tally.add(vote_of({"w-2", 2}, attempt_a, attempt_a));
     CHECK(tally.verdict() == claim_verdict::won);
 }
@@ -321,14 +321,14 @@
 TEST_CASE("claim - an amnesiac voter cannot give its key twice") {
     // A has the vote of w-2, which restarts; B gets the votes of the new w-2
     // and of w-3; A's claim reaches w-1 last.
-    claim_table first = fresh_table("w-1");
-    claim_table second = fresh_table("w-2");
-    claim_table third = fresh_table("w-3");
-    claim_tally tally_a(record_of(attempt_a), three);
-    claim_tally tally_b(record_of(attempt_b), three);
+    claim_table first = recovered_table("w-1");
+    claim_table second = recovered_table("w-2");
+    claim_table third = recovered_table("w-3");
+    claim_tally tally_a(record_of(attempt_a), three_witnesses);
+    claim_tally tally_b(record_of(attempt_b), three_witnesses);
     tally_a.add(claim(second, record_of(attempt_a), "w-2"));
     const process_id again{"w-2", 2};
-    claim_table restarted(again, three, retention, start);
+    claim_table restarted(again, three_witnesses, retention, start);
     recover(restarted, again, first);
     recover(restarted, again, third);
     tally_b.add(claim(restarted, record_of(attempt_b), "w-2"));
@@ -340,7 +340,7 @@
     }
     SECTION("w-1 restarted too and learned of it by its own recovery") {
         const process_id one{"w-1", 2};
-        claim_table recovered(one, three, retention, start);
+        claim_table recovered(one, three_witnesses, retention, start);
         recover(recovered, one, restarted);
         recover(recovered, one, third);
         tally_a.add(claim(recovered, record_of(attempt_a), "w-1"));
@@ -351,19 +351,19 @@
 TEST_CASE("claim - a voter restarted twice still knows who restarted") {
     // As above, but B claims only after w-1 has recovered, so that nothing but
     // `known` keeps A's old vote from counting.
-    claim_table second = fresh_table("w-2");
-    claim_table third = fresh_table("w-3");
-    claim_table first = fresh_table("w-1");
-    claim_tally tally_a(record_of(attempt_a), three);
+    claim_table second = recovered_table("w-2");
+    claim_table third = recovered_table("w-3");
+    claim_table first = recovered_table("w-1");
+    claim_tally tally_a(record_of(attempt_a), three_witnesses);
     tally_a.add(claim(second, record_of(attempt_a), "w-2"));
     const process_id two{"w-2", 2};
-    claim_table new_second(two, three, retention, start);
+    claim_table new_second(two, three_witnesses, retention, start);
     recover(new_second, two, first);
     recover(new_second, two, third);
     const process_id one{"w-1", 2};
-    claim_table new_first(one, three, retention, start);
+    claim_table new_first(one, three_witnesses, retention, start);
     recover(new_first, one, new_second);
     recover(new_first, one, third);
     tally_a.add(claim(new_first, record_of(attempt_a), "w-1"));
-    CHECK(tally_a.verdict() == claim_verdict::open);
+    CHECK(tally_a.verdict() == claim_verdict::undecided);
 }
--- a/tests/support/request_cluster.cpp
+++ b/tests/support/request_cluster.cpp
@@ -15,15 +15,16 @@
 constexpr std::uint32_t answer_tokens = 4;
 constexpr std::uint64_t key_count = 12;
 constexpr milliseconds class_deadline{3000};
-constexpr milliseconds settle_time{30'000};
+constexpr milliseconds drain_time{30'000};
 constexpr milliseconds pause_time{2500};
-constexpr milliseconds jump_time{500};
-constexpr std::uint32_t per_thousand_whole = 1000;
+constexpr milliseconds time_jump{500};
+constexpr std::uint32_t per_thousand_base = 1000;
 
 const digest version_a(64, 'a');
 const digest version_b(64, 'b');
 
-deployment half(const std::string& name, const digest& version) {
+deployment half_traffic_deployment(const std::string& name,
+                                   const digest& version) {
     deployment value;
     value.name = name;
     value.service = "pool";
@@ -45,7 +46,8 @@
     for (std::size_t index = 0; index < plain_agents; ++index)
         records.vms.push_back(fmt::format("vm-{}", engine_agents + index));
     document->services = {pool, records};
-    document->deployments = {half("a", version_a), half("b", version_b)};
+    document->deployments = {half_traffic_deployment("a", version_a),
+                             half_traffic_deployment("b", version_b)};
     request_class desk;
     desk.name = "desk";
     desk.deadline = class_deadline;
@@ -58,7 +60,7 @@
     return fmt::format("{}/{}/{};", body, version.substr(0, 1), index);
 }
 
-std::string whole_text(const std::string& body, const digest& version) {
+std::string complete_text(const std::string& body, const digest& version) {
     std::string text;
     for (std::uint32_t index = 0; index < answer_tokens; ++index)
         text += token(body, version, index);
@@ -79,7 +81,7 @@
     configuration_.requests.retry_percent = 50;
     for (std::size_t index = 0; index < witness_count; ++index) {
         start_witness(index);
-        witnesses_[index].value->recovered_fresh();
+        witnesses_[index].value->skip_recovery();
     }
     for (std::size_t index = 0; index < agents_.size(); ++index)
         start_agent(index);
@@ -90,20 +92,20 @@
 request_report request_cluster::run(std::uint32_t steps) {
     for (std::uint32_t count = 0; count < steps; ++count)
         step();
-    settle();
+    drain();
     return report_;
 }
 
-std::size_t request_cluster::any(std::size_t count) {
+std::size_t request_cluster::random_index(std::size_t count) {
     return absl::Uniform<std::size_t>(random_, 0, count);
 }
 
 bool request_cluster::happens(std::uint32_t per_thousand) {
-    return !calm_ && any(per_thousand_whole) < per_thousand;
+    return !faults_disabled_ && random_index(per_thousand_base) < per_thousand;
 }
 
-void request_cluster::violate(const std::string& what) {
-    report_.violations.push_back(what);
+void request_cluster::report_violation(const std::string& text) {
+    report_.violations.push_back(text);
 }
 
 // ---- Processes -------------------------------------------------------------
@@ -142,15 +144,15 @@
     node.versions = {version_a, version_b};
     node.value = std::make_unique<attempt_scheduler>(node.id, configuration_);
     node.runs.clear();
-    node.latest.clear();
+    node.latest_hello.clear();
     for (connection& link : links_) {
-        if (link.agent == index && (link.greeted || happens(500)))
+        if (link.agent == index && (link.hello_accepted || happens(500)))
             link.agent_closed = true;
     }
-    serve(node);
+    update_service(node);
 }
 
-void request_cluster::serve(agent_node& agent) {
+void request_cluster::update_service(agent_node& agent) {
     const scheduled_service served{agent.engine ? "pool" : "records",
                                    agent.engine, agent.versions, true};
     const auto index = static_cast<std::size_t>(&agent - agents_.data());
@@ -170,11 +172,11 @@
 // ---- Steps -----------------------------------------------------------------
 
 void request_cluster::step() {
-    now_ += milliseconds{any(4)};
-    cause_faults();
-    if (any(25) == 0)
+    now_ += milliseconds{random_index(4)};
+    inject_faults();
+    if (random_index(25) == 0)
         begin_request();
-    switch (any(10)) {
+    switch (random_index(10)) {
     case 0:
     case 1:
     case 2:
@@ -193,53 +195,54 @@
         advance_back_end();
         break;
     }
-    if (now_ - ticked_ >= broker_tick_interval)
+    if (now_ - last_tick_ >= broker_tick_interval)
         tick();
 }
 
-void request_cluster::cause_faults() {
+void request_cluster::inject_faults() {
     if (happens(faults_.time_jumps))
-        now_ += jump_time;
+        now_ += time_jump;
     if (happens(faults_.link_breaks) && !links_.empty())
-        break_link(links_[any(links_.size())]);
+        break_link(links_[random_index(links_.size())]);
     if (happens(faults_.agent_restarts))
-        start_agent(any(agents_.size()));
+        start_agent(random_index(agents_.size()));
     if (happens(faults_.entry_restarts))
-        start_entry(any(entries_.size()));
+        start_entry(random_index(entries_.size()));
     if (happens(faults_.witness_restarts))
-        start_witness(any(witnesses_.size()));
+        start_witness(random_index(witnesses_.size()));
     if (happens(faults_.claim_drops) && !claim_queues_.empty())
         std::next(claim_queues_.begin(),
-                  static_cast<long>(any(claim_queues_.size())))
+                  static_cast<long>(random_index(claim_queues_.size())))
             ->second.clear();
     if (happens(faults_.version_changes)) {
-        agent_node& agent = agents_[any(engine_agents)];
+        agent_node& agent = agents_[random_index(engine_agents)];
         const std::vector<std::vector<digest>> choices{
             {version_a}, {version_b}, {version_a, version_b}};
-        agent.versions = choices[any(choices.size())];
-        serve(agent);
+        agent.versions = choices[random_index(choices.size())];
+        update_service(agent);
     }
     if (happens(faults_.pauses))
-        agents_[any(agents_.size())].paused_until = now_ + pause_time;
+        agents_[random_index(agents_.size())].paused_until = now_ + pause_time;
     if (happens(faults_.pauses))
-        entries_[any(entries_.size())].paused_until = now_ + pause_time;
+        entries_[random_index(entries_.size())].paused_until =
+            now_ + pause_time;
 }
 
 void request_cluster::begin_request() {
-    const std::size_t index = any(entries_.size());
+    const std::size_t index = random_index(entries_.size());
     entry_node& node = entries_[index];
     const request_id id = next_request_++;
     incoming_request incoming;
-    incoming.organisation = any(2) == 0 ? "board" : "tokachi";
+    incoming.organisation = random_index(2) == 0 ? "board" : "tokachi";
     incoming.request_class = "desk";
     incoming.method = "POST";
-    incoming.service = any(2) == 0 ? "pool" : "records";
-    incoming.stream = any(2) == 0;
+    incoming.service = random_index(2) == 0 ? "pool" : "records";
+    incoming.stream = random_index(2) == 0;
     incoming.path = "/read";
     incoming.body = fmt::format("request-{}", id);
-    if (any(2) == 0) {
+    if (random_index(2) == 0) {
         incoming.idempotency_key =
-            fmt::format("key-{}", any(key_count * (1 + id / 40)));
+            fmt::format("key-{}", random_index(key_count * (1 + id / 40)));
         incoming.body = "body of " + incoming.idempotency_key;
         incoming.non_idempotent = true;
     }
@@ -256,12 +259,12 @@
 }
 
 void request_cluster::advance_back_end() {
-    const std::size_t index = any(agents_.size());
+    const std::size_t index = random_index(agents_.size());
     agent_node& agent = agents_[index];
     if (agent.runs.empty() || agent.paused_until > now_)
         return;
-    const auto chosen = std::next(agent.runs.begin(),
-                                  static_cast<long>(any(agent.runs.size())));
+    const auto chosen = std::next(
+        agent.runs.begin(), static_cast<long>(random_index(agent.runs.size())));
     const attempt_id attempt = chosen->first;
     back_end_run& run = chosen->second;
     if (happens(faults_.back_end_failures)) {
@@ -300,13 +303,14 @@
                                 back_end_run{order, order.version, false, 0});
     const auto known = attempts_.find(order.attempt);
     if (known == attempts_.end()) {
-        violate("an attempt ran that no broker sent");
+        report_violation("an attempt ran that no broker sent");
         return;
     }
     caller_request& request = requests_.at(known->second);
     request.ran = true;
-    if (request.told_not_run)
-        violate(to_string(order.attempt) + " ran after not-run was told");
+    if (request.reported_not_run)
+        report_violation(to_string(order.attempt) +
+                         " ran after not-run was told");
     if (!order.non_idempotent)
         return;
     ++report_.keyed_runs;
@@ -314,20 +318,22 @@
         keyed_runs_[{order.organisation, request.incoming.idempotency_key}];
     runs.insert(order.attempt);
     if (runs.size() > 1)
-        violate(order.organisation + "/" + order.idempotency_key +
-                " ran twice");
+        report_violation(order.organisation + "/" + order.idempotency_key +
+                         " ran twice");
 }
 
 void request_cluster::end_request(std::size_t entry, request_id id,
                                   const std::optional<refuse_action>& refusal) {
     caller_request& request = requests_.at({entries_[entry].id, id});
     if (request.ended)
-        violate(fmt::format("request {} ended twice", id));
+        report_violation(fmt::format("request {} ended twice", id));
     request.ended = true;
     if (!refusal) {
         ++report_.answered;
-        if (request.text != whole_text(request.incoming.body, request.version))
-            violate(fmt::format("request {} got '{}'", id, request.text));
+        if (request.text !=
+            complete_text(request.incoming.body, request.version))
+            report_violation(
+                fmt::format("request {} got '{}'", id, request.text));
         return;
     }
     if (refusal->result == outcome::unknown) {
@@ -335,16 +341,16 @@
         return;
     }
     ++report_.not_run;
-    request.told_not_run = true;
+    request.reported_not_run = true;
     if (request.ran)
-        violate(fmt::format("request {} was told not-run ({}) but ran", id,
-                            refusal->reason));
+        report_violation(fmt::format("request {} was told not-run ({}) but ran",
+                                     id, refusal->reason));
 }
 
 // ---- Time ------------------------------------------------------------------
 
 void request_cluster::tick() {
-    ticked_ = now_;
+    last_tick_ = now_;
     std::erase_if(links_, [](const connection& link) {
         return !link.entry_open && link.agent_closed;
     });
@@ -368,9 +374,9 @@
     report_loads();
 }
 
-void request_cluster::settle() {
-    calm_ = true;
-    const instant end = now_ + settle_time;
+void request_cluster::drain() {
+    faults_disabled_ = true;
+    const instant end = now_ + drain_time;
     while (now_ < end) {
         for (std::size_t index = 0; index < links_.size(); ++index) {
             if (links_[index].agent_closed)
@@ -387,16 +393,17 @@
     }
     for (const entry_node& node : entries_) {
         if (!node.value->idle())
-            violate(node.id.name +
-                    " is not idle: " + node.value->dump().dump());
+            report_violation(node.id.name +
+                             " is not idle: " + node.value->dump().dump());
     }
     for (const agent_node& node : agents_) {
         if (!node.value->idle())
-            violate(node.id.name + " is not idle");
+            report_violation(node.id.name + " is not idle");
     }
     for (const auto& [key, request] : requests_) {
         if (!request.ended)
-            violate(fmt::format("request {} has no outcome", key.second));
+            report_violation(
+                fmt::format("request {} has no outcome", key.second));
     }
 }
 
--- a/tests/support/request_cluster.hpp
+++ b/tests/support/request_cluster.hpp
@@ -72,7 +72,8 @@
         std::unique_ptr<attempt_scheduler> value;
         std::map<attempt_id, back_end_run> runs;
         /// Highest incarnation and epoch greeted with, per entry.
-        std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> latest;
+        std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
+            latest_hello;
         instant paused_until{};
     };
     struct entry_node {
@@ -92,8 +93,8 @@
         process_id agent_id;
         std::uint64_t epoch = 0;
         bool entry_open = true;
-        bool established = false; ///< The entry has got `hello_reply`.
-        bool greeted = false;     ///< The agent has accepted `hello`.
+        bool established = false;    ///< The entry has got `hello_reply`.
+        bool hello_accepted = false; ///< The agent has accepted `hello`.
         bool agent_closed = false;
         std::deque<message> to_agent;
         std::deque<message> to_entry;
@@ -106,24 +107,24 @@
         incoming_request incoming;
         bool ended = false;
         bool ran = false;
-        bool told_not_run = false;
+        bool reported_not_run = false;
         std::string text;
         digest version;
         instant begun_at{};
     };
     using request_key = std::pair<process_id, request_id>;
 
-    [[nodiscard]] std::size_t any(std::size_t count);
+    [[nodiscard]] std::size_t random_index(std::size_t count);
     [[nodiscard]] bool happens(std::uint32_t per_thousand);
-    void violate(const std::string& what);
+    void report_violation(const std::string& text);
 
     void start_entry(std::size_t index);
     void start_agent(std::size_t index);
     void start_witness(std::size_t index);
-    void serve(agent_node& agent);
+    void update_service(agent_node& agent);
 
     void step();
-    void cause_faults();
+    void inject_faults();
     void begin_request();
     void break_link(connection& link);
     void deliver_to_agent();
@@ -132,12 +133,12 @@
     void advance_back_end();
     void report_loads();
     void tick();
-    void settle();
+    void drain();
 
     void accept_hello(connection& link, const hello& greeting);
-    void take_at_agent(connection& link, const message& body);
-    void take_at_witness(std::size_t index, std::size_t sender,
-                         const claim_frame& frame);
+    void handle_at_agent(connection& link, const message& body);
+    void handle_at_witness(std::size_t index, std::size_t sender,
+                           const claim_frame& frame);
     void send_claim_frame(std::size_t from, std::size_t to, message body);
     [[nodiscard]] const process_id& id_of(std::size_t index) const;
     void apply(std::size_t entry, const broker::actions& actions);
@@ -156,7 +157,7 @@
     std::mt19937_64 random_;
     request_faults faults_;
     instant now_;
-    instant ticked_{};
+    instant last_tick_{};
     settings configuration_;
     std::shared_ptr<const rollout_document> document_;
     std::vector<entry_node> entries_;
@@ -171,7 +172,7 @@
     std::map<claim_key, std::set<attempt_id>> keyed_runs_;
     std::uint64_t next_request_ = 1;
     std::uint64_t next_incarnation_ = 1;
-    bool calm_ = false;
+    bool faults_disabled_ = false;
     request_report report_;
 };
 
--- a/tests/support/request_cluster_links.cpp
+++ b/tests/support/request_cluster_links.cpp
@@ -52,31 +52,31 @@
     }
     if (ready.empty())
         return;
-    connection& link = *ready[any(ready.size())];
+    connection& link = *ready[random_index(ready.size())];
     const message body = std::move(link.to_agent.front());
     link.to_agent.pop_front();
     if (const auto* greeting = std::get_if<hello>(&body))
         accept_hello(link, *greeting);
-    else if (link.greeted)
-        take_at_agent(link, body);
+    else if (link.hello_accepted)
+        handle_at_agent(link, body);
 }
 
 void request_cluster::accept_hello(connection& link, const hello& greeting) {
     agent_node& agent = agents_[link.agent];
     const std::pair<std::uint64_t, std::uint64_t> greeted{
         greeting.sender.incarnation, greeting.epoch};
-    auto& latest = agent.latest[greeting.sender.name];
+    auto& latest = agent.latest_hello[greeting.sender.name];
     if (greeted <= latest) {
         link.agent_closed = true;
         return;
     }
     latest = greeted;
     for (connection& other : links_) {
-        if (&other != &link && other.greeted && other.agent == link.agent &&
-            other.entry == link.entry)
+        if (&other != &link && other.hello_accepted &&
+            other.agent == link.agent && other.entry == link.entry)
             other.agent_closed = true;
     }
-    link.greeted = true;
+    link.hello_accepted = true;
     link.agent_id = agent.id;
     auto result =
         agent.value->on_link_up(greeting.sender, greeting.epoch, now_);
@@ -84,7 +84,7 @@
     apply_at_agent(link.agent, result.effects);
 }
 
-void request_cluster::take_at_agent(connection& link, const message& body) {
+void request_cluster::handle_at_agent(connection& link, const message& body) {
     attempt_scheduler& target = *agents_[link.agent].value;
     const process_id& entry = link.entry_id;
     const std::size_t agent = link.agent;
@@ -115,7 +115,7 @@
     }
     if (ready.empty())
         return;
-    connection& link = *ready[any(ready.size())];
+    connection& link = *ready[random_index(ready.size())];
     const message body = std::move(link.to_entry.front());
     link.to_entry.pop_front();
     const std::size_t entry = link.entry;
@@ -132,8 +132,8 @@
 void request_cluster::report_loads() {
     for (connection& link : links_) {
         const agent_node& agent = agents_[link.agent];
-        if (!link.greeted || link.agent_closed || agent.paused_until > now_ ||
-            any(5) != 0)
+        if (!link.hello_accepted || link.agent_closed ||
+            agent.paused_until > now_ || random_index(5) != 0)
             continue;
         load_report report;
         report.agent = agent.id;
@@ -153,15 +153,15 @@
     const auto live = [&](request_id request) -> caller_request& {
         caller_request& found = requests_.at({id, request});
         if (found.ended)
-            violate("an action came after the end of its request");
+            report_violation("an action came after the end of its request");
         return found;
     };
     for (const auto& action : actions) {
         std::visit(
             impl::overloaded{
                 [&](const send_action& send) { apply_send(entry, send); },
-                [&](const probe_action& probe) {
-                    open_link(entry, probe.agent);
+                [&](const connect_action& request) {
+                    open_link(entry, request.agent);
                 },
                 [&](const answer_begin_action& begin) {
                     live(begin.request).version = begin.version;
@@ -189,7 +189,7 @@
     }
     connection* link = find_link(entry, send.process);
     if (link == nullptr || !link->established) {
-        violate("a message was sent on a link that is down");
+        report_violation("a message was sent on a link that is down");
         return;
     }
     if (const auto* order = std::get_if<run_order>(&send.body))
@@ -228,7 +228,7 @@
 void request_cluster::send_frame_to_entry(std::size_t agent,
                                           const send_to_entry& send) {
     for (connection& link : links_) {
-        if (link.agent == agent && link.greeted && !link.agent_closed &&
+        if (link.agent == agent && link.hello_accepted && !link.agent_closed &&
             link.entry_id == send.entry)
             link.to_entry.push_back(send.body);
     }
@@ -254,20 +254,20 @@
     }
     if (ready.empty())
         return;
-    const auto [from, to] = ready[any(ready.size())];
+    const auto [from, to] = ready[random_index(ready.size())];
     auto& queue = claim_queues_.at({from, to});
     const claim_frame frame = std::move(queue.front());
     queue.pop_front();
     if (to >= entries_.size()) {
-        take_at_witness(to - entries_.size(), from, frame);
+        handle_at_witness(to - entries_.size(), from, frame);
         return;
     }
     if (entries_[to].paused_until <= now_)
         apply(to, entries_[to].value->on_message(frame.from, frame.body, now_));
 }
 
-void request_cluster::take_at_witness(std::size_t index, std::size_t sender,
-                                      const claim_frame& frame) {
+void request_cluster::handle_at_witness(std::size_t index, std::size_t sender,
+                                        const claim_frame& frame) {
     claim_table& table = *witnesses_[index].value;
     const std::size_t self = entries_.size() + index;
     std::visit(
