--- a/include/ospreystage/impl/broker_state.hpp
+++ b/include/ospreystage/impl/broker_state.hpp
@@ -22,23 +22,24 @@
 
 namespace ospreystage::impl {
 
-/// What a request waits for.
+/// Phase of a request, by what it waits for.
 enum class request_phase : std::uint8_t {
-    waiting,   ///< A slot; see `admission`.
+    waiting,   ///< A free slot; see `admission`.
     claiming,  ///< Votes on its idempotency key.
-    choosing,  ///< An agent that can take it.
-    in_flight, ///< The answer of the agent that has it.
-    resolving, ///< The link to that agent, to learn whether it started.
+    choosing,  ///< An agent that can run it.
+    in_flight, ///< The answer of the agent that it was dispatched to.
+    resolving, ///< A new link to that agent, which reports whether the
+               ///< attempt was started.
 };
 
 [[nodiscard]] const char* to_string(request_phase phase) noexcept;
 
-/// Attempt that was dispatched and has not ended.
+/// Dispatched attempt that has not ended.
 struct attempt_state {
     attempt_id id;
     process_id agent;
     digest version;
-    bool answer_begun = false; ///< `answer_begin` has come.
+    bool answer_begun = false; ///< `answer_begin` was received.
     bool seal_sent = false;
     std::uint32_t next_part = 0;
 };
@@ -46,48 +47,48 @@
 /// One request of a caller.
 struct request_state {
     incoming_request incoming;
-    bool engine_service = false;
-    bool streams = false; ///< Parts go to the caller as they arrive.
+    bool engine_service = false; ///< The service is served by model engines.
+    bool streams = false;        ///< Parts are forwarded as they arrive.
     std::uint32_t priority = 0;
     instant deadline{};
     request_phase phase = request_phase::waiting;
-    instant phase_deadline{}; ///< Bound of claiming, choosing or resolving.
+    instant phase_deadline{}; ///< For claiming, choosing and resolving.
 
     claim_tally tally;
     instant next_claim_at{};
-    bool claimed = false; ///< The vote was won and not released.
+    bool claimed = false; ///< The claim was won and not released.
 
     std::optional<attempt_state> attempt;
     std::uint32_t attempts = 0;
     bool attempt_lost = false; ///< An attempt without an answer may have run.
-    absl::flat_hash_set<std::string>
-        excluded_agents; ///< Agents not to try again.
+    /// Agents that no further attempt is sent to.
+    absl::flat_hash_set<std::string> excluded_agents;
     std::string last_reason;
     milliseconds retry_after{};
 
-    bool begin_forwarded = false; ///< The caller has got the status.
+    bool begin_forwarded = false; ///< The status was sent to the caller.
     std::uint32_t tokens_forwarded = 0;
-    digest pinned_version; ///< Version that began the answer passed on.
+    digest pinned_version; ///< Version of the answer that was begun.
     std::uint16_t status = 0;
     std::string content_type;
-    std::string buffered; ///< Answer so far, if it is not streamed.
+    std::string buffered; ///< Answer received so far, if not streamed.
 };
 
-/// An agent that this entry knows.
+/// Agent that is listed, connected or has outstanding attempts.
 struct agent_state {
     std::string vm;
     bool listed = false; ///< Alive and not leaving.
     bool link_up = false;
-    process_id id; ///< Incarnation behind the link, if it is up.
+    process_id id; ///< Incarnation at the other end of the last link.
     instant next_connect_at{};
     bool reported = false;
     load_report load;
     instant load_received_at{};
     std::uint32_t outstanding = 0;
-    std::uint32_t outstanding_at_report = 0; ///< When `load` came.
+    std::uint32_t outstanding_at_report = 0; ///< When `load` was received.
 };
 
-/// State and transitions of the broker; see `broker`.
+/// Implementation of `broker`: state and transitions.
 class broker_state {
   public:
     broker_state(process_id self, const settings& configuration,
@@ -126,7 +127,7 @@
     void fail_request(request_id request, const std::string& reason,
                       instant now);
     void remove_request(request_id request, bool answered, instant now);
-    /// Begins what an admitted request needs first.
+    /// Starts an admitted request: claims its key or chooses an agent.
     void start_request(request_id request, instant now);
     void admit_waiting(instant now);
     void check_deadline(request_id request, instant now);
@@ -146,9 +147,10 @@
     void dispatch(request_id request, instant now);
     [[nodiscard]] bool dispatch_version(request_id request,
                                         const digest& version, instant now);
-    /// Version of the document before that may answer instead of `version` on
-    /// agents that do not hold it yet; nothing if the current document still
-    /// names that version and so rules its traffic.
+    /// Returns the version of the previous document that may answer instead
+    /// of `version` on agents that do not hold `version` yet. Returns nothing
+    /// if the current document still names the previous version: then the
+    /// current document alone decides that version's traffic.
     [[nodiscard]] std::optional<digest>
     superseded_version(request_id request, const request_state& state,
                        const digest& version) const;
@@ -161,16 +163,17 @@
     candidates(const request_state& state, const digest& version,
                instant now) const;
     [[nodiscard]] bool may_become_usable(const request_state& state) const;
-    /// Attempts of a service that this entry may have in flight; 0: unknown.
+    /// Returns how many attempts of a service this entry may have in flight;
+    /// 0: unknown.
     [[nodiscard]] std::uint32_t slot_count(const std::string& service,
                                            instant now) const;
     void send_run_order(request_id request, const std::string& agent,
                         const digest& version, instant now);
     void end_attempt(request_state& state);
-    /// The attempt never ran and never will.
+    /// Handles an attempt that never ran and never will.
     void on_sealed(request_id request, refusal reason, milliseconds retry_after,
                    instant now);
-    /// The attempt may have run; its answer is lost.
+    /// Handles an attempt that may have run and whose answer is lost.
     void on_lost(request_id request, const std::string& reason, instant now);
     void retry(request_id request, const std::string& reason,
                bool exempt_from_budget, instant now);
@@ -193,7 +196,7 @@
     void update_subsets();
     void connect(const std::string& agent, agent_state& state, instant now);
     void connect_missing(instant now);
-    /// Sends if the link to this incarnation is up.
+    /// Sends `body` if the link to this incarnation is up, else drops it.
     void send_to_agent(const process_id& agent, message body);
     [[nodiscard]] std::vector<request_id>
     requests_on(const std::string& agent) const;
@@ -210,13 +213,13 @@
     retry_budget retry_budget_;
     std::mt19937_64 random_;
     std::shared_ptr<const rollout_document> document_;
-    /// Document before `document_`: its versions answer on agents that do not
-    /// hold the current ones yet.
+    /// Document before `document_`: its versions may answer on agents that do
+    /// not hold the current versions yet.
     std::shared_ptr<const rollout_document> previous_document_;
     std::vector<std::string> entries_;
     bool leaving_ = false;
     std::map<request_id, request_state> requests_;
-    /// Claimed or dispatched attempts of this entry, by sequence.
+    /// Requests of claimed or dispatched attempts, by attempt sequence.
     absl::flat_hash_map<std::uint64_t, request_id> attempts_;
     std::uint64_t next_sequence_ = 1;
     std::map<std::string, agent_state> agents_;
--- a/include/ospreystage/requests/broker_action.hpp
+++ b/include/ospreystage/requests/broker_action.hpp
@@ -11,13 +11,13 @@
 
 namespace ospreystage {
 
-/// How a request ended that got no whole answer.
+/// Outcome of a request without a complete answer.
 enum class outcome : std::uint8_t {
-    not_run, ///< It did not run and never will.
-    unknown, ///< It may or may not have run.
+    not_run, ///< The request did not run and never will.
+    unknown, ///< The request may or may not have run.
 };
 
-/// Returns the outcome's name as callers see it: `not-run` or `unknown`.
+/// Returns the name that callers receive: `not-run` or `unknown`.
 [[nodiscard]] constexpr const char* to_string(outcome value) noexcept {
     return value == outcome::not_run ? "not-run" : "unknown";
 }
@@ -30,7 +30,8 @@
 
 /// Opens the link to `agent` if there is none.
 ///
-/// The shell answers with `broker::on_link_up` or `broker::on_link_down`.
+/// `request_service` reports the result by `broker::on_link_up` or
+/// `broker::on_link_down`.
 struct connect_action {
     std::string agent;
 };
@@ -40,37 +41,37 @@
     request_id request = 0;
     std::uint16_t status = 0; ///< HTTP status of the back end.
     std::string content_type;
-    digest version; ///< Version that answers, empty for plain services.
+    digest version; ///< Answering version, empty for plain services.
 };
 
-/// Passes the next bytes of the answer to the caller.
+/// Forwards the next bytes of the answer to the caller.
 struct answer_part_action {
     request_id request = 0;
     std::string data;
 };
 
-/// Completes the answer: the caller has got all of it.
+/// Completes the answer: all of it has been forwarded to the caller.
 struct answer_end_action {
     request_id request = 0;
 };
 
-/// Ends a request without a whole answer.
+/// Ends a request without a complete answer.
 ///
-/// If the answer had begun, the stream to the caller is cut off so that it
-/// can't be taken for a complete one.
+/// If the answer has begun, the stream to the caller is aborted so that the
+/// caller cannot mistake it for a complete one.
 struct refuse_action {
     request_id request = 0;
     outcome result = outcome::not_run;
-    std::string reason; ///< Short code, e.g. `overloaded` or `key_reused`.
+    std::string reason; ///< Error code, e.g. `overloaded` or `key_reused`.
     milliseconds retry_after{};
 };
 
-/// Effect that the broker asks its shell for.
+/// Action that `request_service` performs for the broker.
 using broker_action =
     std::variant<send_action, connect_action, answer_begin_action,
                  answer_part_action, answer_end_action, refuse_action>;
 
-/// Effects in the order in which they must happen.
+/// Actions in the order in which they must be performed.
 using broker_actions = std::vector<broker_action>;
 
 } // namespace ospreystage
--- a/include/ospreystage/requests/claim_service.hpp
+++ b/include/ospreystage/requests/claim_service.hpp
@@ -6,24 +6,25 @@
 
 namespace ospreystage {
 
-/// Shell of the claim table on an entry that is a witness.
+/// Runs the claim table of an entry that is a witness: connects it to links
+/// and the timer.
 class claim_service {
   public:
     claim_service(kernel& core, const settings& configuration);
 
-    /// Subscribes to links and starts the tick; before `links::start`.
+    /// Subscribes to links and starts the timer; call before `links::start`.
     void start();
 
     [[nodiscard]] nlohmann::json dump() const;
 
-    /// Votes on a claim of this entry's own.
+    /// Votes on a claim made by this entry itself.
     [[nodiscard]] claim_reply vote(const claim_request& request);
 
-    /// Withdraws a claim of this entry's own.
+    /// Removes a claim made by this entry itself.
     void release(const claim_release& claim);
 
-    /// The platform's service said after this start that nothing was ever
-    /// accepted.
+    /// Skips the recovery, since the platform's service confirmed after
+    /// this start that no rollout was ever accepted.
     void skip_recovery();
 
   private:
--- a/include/ospreystage/requests/claim_table.hpp
+++ b/include/ospreystage/requests/claim_table.hpp
@@ -16,18 +16,18 @@
 
 namespace ospreystage {
 
-/// Claims that one witness remembers at once.
+/// Maximum number of claims that one witness stores.
 inline constexpr std::size_t max_claims = 500'000;
 
-/// Records of claimed idempotency keys, on the side of a witness.
+/// Claimed idempotency keys, as stored by a witness.
 ///
-/// Pure: it holds no socket, clock or thread. The first attempt that is
-/// recorded for a key stays its owner until it is released or
-/// `claim_retention` has passed. A witness that has just started does not
-/// vote before it is recovered; see `is_recovered`.
+/// Performs no I/O and has no clock or thread. The first attempt recorded for
+/// a key owns the key until the claim is released or `claim_retention` has
+/// passed. A witness that has just started does not vote on a key before
+/// `may_vote` allows it.
 class claim_table {
   public:
-    /// Recovery request for one other witness.
+    /// Recovery request and the witness to send it to.
     struct outgoing_recover_request {
         std::string witness;
         recover_request body;
@@ -35,53 +35,55 @@
 
     // ---- Construction ------------------------------------------------------
 
-    /// `witnesses` are the names of all witnesses, this one included.
+    /// `witnesses` are the names of all witnesses, including this one.
     claim_table(process_id self, std::vector<std::string> witnesses,
                 milliseconds retention, instant now,
                 std::size_t limit = max_claims);
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Returns true if this witness may vote: every other witness that was
-    /// recovered has sent its records, or the retention has passed since the
-    /// start, or nothing can have been claimed before the start.
+    /// Returns true if this witness may vote on every key: every other witness
+    /// was recovered and has sent its records, or the retention has passed
+    /// since the start, or nothing can have been claimed before the start.
     [[nodiscard]] bool is_recovered(instant now) const;
 
-    /// Returns true if this witness may vote on `key`: it is recovered, or the
-    /// other voters of that key have sent their records. Only those can hold a
-    /// claim for it.
+    /// Returns true if this witness may vote on `key`: this witness is
+    /// recovered, or the other voters of `key` have sent their records. Only
+    /// voters of a key store claims for it.
     [[nodiscard]] bool may_vote(const claim_key& key, instant now) const;
 
     [[nodiscard]] std::size_t size() const noexcept;
 
-    /// Describes counts and the recovery for the state dump.
+    /// Returns counters and the state of the recovery for the state dump.
     [[nodiscard]] nlohmann::json dump(instant now) const;
 
     // ---- Inputs ------------------------------------------------------------
 
-    /// Ends the recovery: the platform's service said after the start of this
-    /// process that no rollout was ever accepted, so nothing can have run.
+    /// Ends the recovery without records: the platform's service confirmed
+    /// after the start of this process that no rollout was ever accepted, so no
+    /// attempt can have run.
     void skip_recovery();
 
     /// Records or looks up a claim and votes.
     ///
-    /// The reply says `recovering` if this witness may not vote on the key:
-    /// during the recovery, if the table is full, if the recovered records of
-    /// the key contradict each other, or if another incarnation was meant.
+    /// The reply is marked `recovering` if this witness may not vote on the
+    /// key: during the recovery, if the table is full, if the recovered
+    /// records of the key conflict, or if the request names another witness
+    /// or incarnation.
     [[nodiscard]] claim_reply on_claim(const claim_request& request,
                                        instant now);
 
-    /// Removes the claim of an attempt that was not and never will be run.
+    /// Removes the claim of an attempt that did not run and never will.
     void on_release(const claim_release& release, instant now);
 
-    /// Returns the pages that answer another witness's recovery.
+    /// Returns the pages of the reply to another witness's recovery request.
     [[nodiscard]] std::vector<recover_reply>
     on_recover_request(const recover_request& request, instant now);
 
-    /// Takes one page of an answer to this witness's recovery.
+    /// Stores one page of a reply to this witness's recovery request.
     void on_recover_reply(const recover_reply& reply, instant now);
 
-    /// Forgets old records; returns the recovery requests that are due.
+    /// Evicts expired claims; returns the recovery requests that are due.
     [[nodiscard]] std::vector<outgoing_recover_request> tick(instant now);
 
   private:
@@ -89,7 +91,8 @@
         claim_record record;
         instant expires{};
     };
-    /// More than one claim for a key contradict each other: no vote.
+    /// Claims for one key. More than one claim conflict: the witness does not
+    /// vote on the key.
     using claim_list = std::vector<stored_claim>;
 
     void record_incarnation(const process_id& witness);
--- a/include/ospreystage/requests/claim_tally.hpp
+++ b/include/ospreystage/requests/claim_tally.hpp
@@ -11,36 +11,37 @@
 
 namespace ospreystage {
 
-/// Witnesses that vote on one key.
+/// Maximum number of witnesses that vote on one key.
 inline constexpr std::size_t claim_voter_count = 3;
 
-/// Returns the witnesses that vote on `key`: the first three by rendezvous.
+/// Returns the witnesses that vote on `key`: the first `claim_voter_count` in
+/// the order of rendezvous hashing.
 [[nodiscard]] std::vector<std::string>
 claim_voters(const claim_key& key, const std::vector<std::string>& witnesses);
 
-/// Returns how many of `voters` make a majority.
+/// Returns the number of votes that form a majority of `voters`.
 [[nodiscard]] constexpr std::size_t
 claim_majority(std::size_t voters) noexcept {
     return voters / 2 + 1;
 }
 
-/// State of a vote on a claim.
+/// Result of the votes on a claim so far.
 enum class claim_verdict : std::uint8_t {
-    undecided,  ///< More votes may decide it.
+    undecided,  ///< Further votes may decide the claim.
     won,        ///< The attempt may run.
-    taken,      ///< Another attempt holds the key.
-    key_reused, ///< Another request with a different body holds the key.
-    split,      ///< No attempt can get a majority of these voters.
+    taken,      ///< Another attempt owns the key.
+    key_reused, ///< A request with another body owns the key.
+    split,      ///< No attempt can win a majority of these voters.
 };
 
-/// Counts the votes on one claim, on the side of the entry.
+/// Counts the votes on a claim that an entry requested.
 class claim_tally {
   public:
     // ---- Construction ------------------------------------------------------
 
     claim_tally() = default;
 
-    /// Counts for `wanted`; `voters` are from `claim_voters`.
+    /// Counts the votes on `requested`; `voters` are from `claim_voters`.
     claim_tally(claim_record requested, std::vector<std::string> voters);
 
     // ---- Observers ---------------------------------------------------------
@@ -48,26 +49,28 @@
     [[nodiscard]] const claim_record& requested() const noexcept;
     [[nodiscard]] const std::vector<std::string>& voters() const noexcept;
 
-    /// Voters whose vote is missing or void.
+    /// Returns the voters without a reply, or whose reply was `recovering` or
+    /// from an earlier incarnation.
     [[nodiscard]] std::vector<std::string> missing_voters() const;
 
     [[nodiscard]] claim_verdict verdict() const;
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Takes a reply. One for another attempt, of no voter, or of an older
-    /// incarnation than one taken before is ignored.
+    /// Adds a reply. Ignores a reply for another attempt or key, from a
+    /// process that is not a voter, or from an earlier incarnation than one
+    /// already known.
     void add(const claim_reply& reply);
 
   private:
-    /// Returns true if no reply names a newer incarnation of its witness.
+    /// Returns true if no newer incarnation of the reply's witness is known.
     [[nodiscard]] bool is_current(const claim_reply& reply) const;
     [[nodiscard]] std::vector<const claim_reply*> valid_votes() const;
 
     claim_record requested_;
     std::vector<std::string> voters_;
     absl::flat_hash_map<std::string, claim_reply> replies_;
-    /// Newest incarnation heard of, per witness.
+    /// Newest incarnation that any reply has reported, by witness name.
     absl::flat_hash_map<std::string, std::uint64_t> newest_incarnations_;
 };
 
--- a/include/ospreystage/requests/request_service.hpp
+++ b/include/ospreystage/requests/request_service.hpp
@@ -11,10 +11,10 @@
 
 namespace ospreystage {
 
-/// Shell of the broker: carries its actions to links and callers.
+/// Runs the broker: performs its actions on links and callers.
 class request_service {
   public:
-    /// Hands an event of a request to its caller.
+    /// Receives the events of a request that are for its caller.
     using callback = std::function<void(request_id, const exchange_event&)>;
 
     // ---- Construction ------------------------------------------------------
@@ -22,7 +22,7 @@
     request_service(kernel& core, const settings& configuration,
                     callback on_event);
 
-    /// Subscribes to links and starts the tick; before `links::start`.
+    /// Subscribes to links and starts the timer; call before `links::start`.
     void start();
 
     // ---- Observers ---------------------------------------------------------
@@ -34,22 +34,23 @@
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Takes a caller's request.
+    /// Begins a caller's request.
     void begin(request_id id, incoming_request incoming);
 
-    /// The caller went away.
+    /// Cancels a request whose caller disconnected.
     void cancel(request_id id);
 
-    /// Uses `document` from now on.
+    /// Sets the rollout document for requests that begin from now on.
     void set_document(std::shared_ptr<const rollout_document> document);
 
-    /// Replaces the agents that may get work.
+    /// Replaces the agents that may receive attempts.
     void set_agents(const std::vector<member>& agents);
 
-    /// Tells which entries share the agents.
+    /// Sets the names of the live entries, which divide the agents among
+    /// themselves.
     void set_entries(std::vector<std::string> entries);
 
-    /// Refuses new requests; those in progress go on.
+    /// Refuses new requests; those in progress continue.
     void set_leaving();
 
   private:
--- a/include/ospreystage/requests/retry_budget.hpp
+++ b/include/ospreystage/requests/retry_budget.hpp
@@ -6,20 +6,20 @@
 
 /// Limits retries to a percentage of recent requests.
 ///
-/// Each request earns a part of a retry; earned retries are kept up to a
-/// bound, so that a failure of the whole fleet does not multiply its load.
+/// Each request adds a fraction of a retry to the balance. The balance is
+/// limited, so that a failure of the whole fleet does not multiply its load.
 class retry_budget {
   public:
-    /// `percent` is the number of retries that 100 requests earn.
+    /// `percent` is the number of retries that 100 requests add.
     explicit retry_budget(std::uint32_t percent) noexcept;
 
-    /// Retries that may be made now.
+    /// Returns the number of retries that may be made now.
     [[nodiscard]] std::uint32_t available() const noexcept;
 
-    /// Earns for one new request.
+    /// Adds the share of one new request.
     void deposit() noexcept;
 
-    /// Takes one retry; returns false if there is none.
+    /// Takes one retry from the balance; returns false if there is none.
     [[nodiscard]] bool try_withdraw() noexcept;
 
   private:
--- a/src/requests/broker_answers.cpp
+++ b/src/requests/broker_answers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Largest answer that is held until it is whole, in bytes.
+/// Largest answer that is buffered until it is complete, in bytes.
 constexpr std::size_t max_buffered_bytes = 16 * 1024 * 1024;
 
 constexpr std::uint16_t http_ok = 200;
@@ -63,7 +63,8 @@
             [&](const load_report& report) {
                 on_load_report(from, report, now);
             },
-            // After seal_failed the answer or the deadline decides.
+            // Other messages, such as seal_failed, are ignored: the answer or
+            // the deadline ends the request.
             [](const auto&) {},
         },
         body);
--- a/src/requests/broker_claims.cpp
+++ b/src/requests/broker_claims.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// Time in which the votes on a key must come.
+/// Time within which the votes on a key must arrive.
 constexpr milliseconds claim_timeout{1000};
 
-/// Interval at which voters without a vote are asked again.
+/// Interval at which the claim is resent to voters without a valid vote.
 constexpr milliseconds claim_retry_interval{250};
 
-/// Range of the time after which a caller may repeat a split vote.
+/// Range of the random retry delay that is sent to a caller after a split
+/// vote.
 constexpr milliseconds min_split_retry_after{50};
 constexpr milliseconds max_split_retry_after{250};
 
--- a/src/requests/broker_dispatch.cpp
+++ b/src/requests/broker_dispatch.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// Time in which an agent must be found for an attempt.
+/// Time within which an agent must be found for an attempt.
 constexpr milliseconds choose_timeout{1500};
 
-/// Attempts of one request, the first included.
+/// Maximum number of attempts of one request, including the first.
 constexpr std::uint32_t max_attempts = 4;
 
-/// Capacity assumed of an agent that has not reported any.
+/// Capacity assumed for an agent that has not reported its capacity.
 constexpr std::uint32_t unreported_capacity = 16;
 
 milliseconds load_age(const agent_state& agent, instant now) {
--- a/src/requests/broker_links.cpp
+++ b/src/requests/broker_links.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Interval between two probes of the same agent.
+/// Interval between two connection attempts to the same agent.
 constexpr milliseconds connect_interval{500};
 
-/// Time in which the truth about an attempt must be had after its link broke.
+/// Time after a broken link within which the agent must report whether it
+/// started the attempt.
 constexpr milliseconds resolve_timeout{1500};
 
 bool contains(const std::vector<attempt_id>& attempts,
@@ -115,7 +116,8 @@
         on_lost(request, "agent_restarted", now);
         return;
     }
-    // Past the deadline the agent may have forgotten that it started.
+    // After the deadline the agent may have evicted the record of a started
+    // attempt, so that its absence from `started` proves nothing.
     if (state.deadline <= now) {
         fail_request(request, "deadline", now);
         return;
@@ -128,7 +130,7 @@
         on_lost(request, "link_lost", now);
         return;
     }
-    // The agent sends the answer again from its first part.
+    // The agent resends the answer from its first part.
     state.phase = request_phase::in_flight;
 }
 
--- a/src/requests/broker_state.cpp
+++ b/src/requests/broker_state.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// Time before the deadline at which an attempt without an answer is sealed.
+/// Time before the deadline at which the agent is ordered to seal an attempt
+/// whose answer has not begun.
 constexpr milliseconds seal_margin{200};
 
-/// Deadline of a request whose class the document does not name.
+/// Time limit of a request whose class the document does not name.
 constexpr milliseconds default_deadline{30'000};
 
-/// Time after which a caller may come back after a refusal without another.
+/// Retry delay of a refusal for which no other delay is known.
 constexpr milliseconds default_retry_after{500};
 
 bool is_non_idempotent(const incoming_request& incoming,
@@ -122,7 +123,8 @@
 
 void broker_state::begin(request_id request, incoming_request incoming,
                          instant now) {
-    // Before its claim is won, an earlier try of a key may have run.
+    // Until the claim of its key is decided, an earlier request with the same
+    // key may have run.
     const outcome early_outcome =
         incoming.idempotency_key.empty() ? outcome::not_run : outcome::unknown;
     const auto refuse_early = [&](const std::string& reason) {
@@ -263,7 +265,8 @@
     const bool may_have_run = state.attempt_lost || state.attempt.has_value();
     const milliseconds retry_after =
         std::max(state.retry_after, default_retry_after);
-    // Before its claim is won, an earlier try of a key may have run.
+    // Until the claim of its key is decided, an earlier request with the same
+    // key may have run.
     const bool undecided = !state.incoming.idempotency_key.empty() &&
                            (state.phase == request_phase::waiting ||
                             state.phase == request_phase::claiming);
--- a/src/requests/claim_table.cpp
+++ b/src/requests/claim_table.cpp
@@ -10,7 +10,7 @@
 /// Interval between two recovery requests to the same witness.
 constexpr milliseconds recovery_interval{250};
 
-/// Records in one page of a recovery answer.
+/// Number of records that completes a page of a recovery reply.
 constexpr std::size_t records_per_page = 4000;
 
 std::uint32_t to_wire(milliseconds duration) {
@@ -109,7 +109,7 @@
     if (found == claims_.end())
         return;
     claim_list& held = found->second;
-    // Which of contradicting claims was dispatched is not known.
+    // It is not known which of several conflicting claims was dispatched.
     if (held.size() > 1)
         return;
     const auto claim =
@@ -163,7 +163,7 @@
     if (reply.recovering ||
         reply.sender.incarnation < newest_incarnations_.at(reply.sender.name))
         return;
-    // A recovered witness decides by its own records only.
+    // A recovered witness votes by its own records alone.
     if (is_recovered(now) || recovered_from_.contains(reply.sender.name))
         return;
     for (const claim_record& record : reply.records)
@@ -186,7 +186,8 @@
     return steps;
 }
 
-// ---- Details ---------------------------------------------------------------
+// ---- Implementation
+// ---------------------------------------------------------------
 
 void claim_table::record_incarnation(const process_id& witness) {
     std::uint64_t& newest = newest_incarnations_[witness.name];
--- a/src/requests/request_service.cpp
+++ b/src/requests/request_service.cpp
@@ -95,8 +95,9 @@
 
 void request_service::send_message(const std::string& process,
                                    const message& body) {
-    // Never queued for a later connection: the broker was told which links
-    // are up, and a lost message is resolved when the link comes up again.
+    // Messages to agents are never queued for a later connection: the broker
+    // knows which links are up, and resolves a lost message when the link is
+    // re-established.
     if (std::holds_alternative<claim_request>(body) ||
         std::holds_alternative<claim_release>(body)) {
         if (process == links_.self().name)
@@ -111,7 +112,7 @@
 }
 
 void request_service::send_to_local_claim_table(const message& body) {
-    // Posted, since the broker is still carrying out its actions.
+    // Posted, since the broker's current actions are still being performed.
     core_.post("requests", [this, body] {
         auto* claims = core_.find_if<claim_service>("claims");
         if (claims == nullptr)
--- a/src/requests/retry_budget.cpp
+++ b/src/requests/retry_budget.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::uint32_t hundredths_per_retry = 100;
 
-/// Retries kept at most; also what a new budget starts with.
+/// Maximum balance in retries; also the initial balance unless the percentage
+/// is 0.
 constexpr std::uint32_t max_stored_retries = 10;
 
 constexpr std::uint32_t max_hundredths =
--- a/tests/broker.cpp
+++ b/tests/broker.cpp
@@ -105,7 +105,7 @@
     return found;
 }
 
-/// A broker whose given agents are listed, linked and reported.
+/// Broker whose agents are listed, connected and have reported their load.
 struct fixture {
     broker value;
 
@@ -132,7 +132,8 @@
         return orders.front();
     }
 
-    /// Gives the vote `held` of every voter that is asked in `actions`.
+    /// Replies to every claim request in `actions` with a vote for `held`, by
+    /// default for the requesting attempt itself.
     broker::actions vote(const broker::actions& actions,
                          const std::optional<attempt_id>& held = {},
                          const std::string& body = "") {
@@ -164,7 +165,7 @@
 
 } // namespace
 
-TEST_CASE("broker - a whole answer reaches its caller") {
+TEST_CASE("broker - a complete answer reaches its caller") {
     fixture entry({agent_a});
     const run_order order = entry.begin(buffered_request());
     CHECK(order.version == version_a);
@@ -232,7 +233,7 @@
     CHECK(orders.front().attempt != id);
 }
 
-TEST_CASE("broker - an answer of another version is not passed on") {
+TEST_CASE("broker - an answer of another version is not forwarded") {
     fixture entry({agent_a, agent_b});
     const run_order order = entry.begin(streamed_request());
     const answer_begin begin{order.attempt, 200, "text/plain", version_b};
@@ -242,7 +243,7 @@
     CHECK(sent<run_order>(actions).size() == 1);
 }
 
-TEST_CASE("broker - a broken stream continues after the tokens passed on") {
+TEST_CASE("broker - a broken stream continues after the forwarded tokens") {
     fixture entry({agent_a, agent_b});
     const run_order first = entry.begin(streamed_request());
     const answer_begin begin{first.attempt, 200, "text/plain", version_a};
@@ -283,7 +284,7 @@
     CHECK(only_refusal(actions).result == outcome::unknown);
 }
 
-TEST_CASE("broker - an attempt that was refused is not run, then tried again") {
+TEST_CASE("broker - a refused attempt is not run and is retried elsewhere") {
     fixture entry({agent_a, agent_b});
     const run_order first = entry.begin(buffered_request());
     auto actions = entry.value.on_message(
@@ -309,7 +310,7 @@
     CHECK(value.idle());
 }
 
-TEST_CASE("broker - nothing is ordered before the link is up") {
+TEST_CASE("broker - no attempt is ordered before the link is up") {
     broker value(self, broker_settings(), 1);
     value.set_document(pool_document(), start);
     value.set_agents({agent_member(agent_a)});
@@ -320,7 +321,7 @@
     CHECK(sent<run_order>(actions).size() == 1);
 }
 
-TEST_CASE("broker - an agent that never comes up bounds the wait") {
+TEST_CASE("broker - the wait for an agent that never connects is bounded") {
     broker value(self, broker_settings(), 1);
     value.set_document(pool_document(), start);
     value.set_agents({agent_member(agent_a)});
@@ -330,7 +331,7 @@
     CHECK(only_refusal(actions).result == outcome::not_run);
 }
 
-TEST_CASE("broker - a leaving entry refuses and ends what it has") {
+TEST_CASE("broker - a leaving entry refuses requests and completes its own") {
     fixture entry({agent_a});
     const attempt_id id = entry.begin(buffered_request()).attempt;
     entry.value.set_leaving();
@@ -345,7 +346,7 @@
     CHECK(entry.value.idle());
 }
 
-TEST_CASE("broker - the deadline in the middle ends the request at once") {
+TEST_CASE("broker - a deadline during an attempt ends the request at once") {
     fixture entry({agent_a});
     const attempt_id id = entry.begin(buffered_request()).attempt;
     const auto early = entry.value.tick(start + milliseconds{29'850});
@@ -364,7 +365,7 @@
     CHECK(entry.value.idle());
 }
 
-TEST_CASE("broker - a caller that went away cancels its attempt") {
+TEST_CASE("broker - the attempt of a disconnected caller is cancelled") {
     fixture entry({agent_a});
     const attempt_id id = entry.begin(buffered_request()).attempt;
     const auto actions = entry.value.cancel(1, start);
@@ -374,7 +375,8 @@
     CHECK(entry.value.idle());
 }
 
-TEST_CASE("broker - a non-idempotent request runs only after it won its key") {
+TEST_CASE(
+    "broker - a non-idempotent request runs only after its claim is won") {
     fixture entry({agent_a});
     const auto claims = entry.value.begin(1, non_idempotent_request(), start);
     CHECK(sent<run_order>(claims).empty());
@@ -410,18 +412,18 @@
     CHECK(refusal.reason == "key_reused");
 }
 
-TEST_CASE("broker - a vote that does not come ends as unknown and releases") {
+TEST_CASE("broker - a claim without votes ends as unknown and is released") {
     fixture entry({agent_a});
     static_cast<void>(entry.value.begin(1, non_idempotent_request(), start));
     const auto again = entry.value.tick(start + milliseconds{300});
     CHECK(sent<claim_request>(again).size() == 3);
     const auto actions = entry.value.tick(start + milliseconds{1000});
-    // An earlier try of the key may have run.
+    // An earlier request with the same key may have run.
     CHECK(only_refusal(actions).result == outcome::unknown);
     CHECK(sent<claim_release>(actions).size() == 3);
 }
 
-TEST_CASE("broker - a key refused before its claim is not told not-run") {
+TEST_CASE("broker - a keyed request refused before its claim is unknown") {
     fixture entry({agent_a});
     entry.value.set_leaving();
     const auto keyed = entry.value.begin(1, non_idempotent_request(), start);
@@ -446,7 +448,7 @@
         REQUIRE(orders.size() == 1);
         CHECK(orders.front().attempt != id);
     }
-    SECTION("started: its answer is sent again") {
+    SECTION("started: its answer is resent") {
         CHECK(entry.value.on_link_up(agent_a, {id}, start).empty());
         const answer_begin begin{id, 201, "text/plain", ""};
         static_cast<void>(entry.value.on_message(agent_a, begin, start));
@@ -460,7 +462,7 @@
         CHECK(only_refusal(actions).result == outcome::unknown);
         CHECK(sent<run_order>(actions).empty());
     }
-    SECTION("not reachable: unknown within the bound") {
+    SECTION("unreachable: unknown within the timeout") {
         static_cast<void>(entry.value.on_link_down("vm-a", start));
         const auto actions = entry.value.tick(start + milliseconds{1500});
         CHECK(only_refusal(actions).result == outcome::unknown);
--- a/tests/claim.cpp
+++ b/tests/claim.cpp
@@ -34,7 +34,7 @@
     return table.on_claim({record, {witness, 0}}, now);
 }
 
-/// Lets `to` recover what `from` holds.
+/// Recovers the claims of `from` into `to`.
 void recover(claim_table& to, const process_id& to_id, claim_table& from,
              instant now = start) {
     for (const auto& page : from.on_recover_request({to_id}, now))
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("claim - voters are the first three by rendezvous") {
+TEST_CASE("claim - voters are the first three by rendezvous hashing") {
     const std::vector<std::string> five{"w-1", "w-2", "w-3", "w-4", "w-5"};
     const claim_key key{"board", "key"};
     CHECK(claim_voters(key, five).size() == 3);
@@ -97,7 +97,7 @@
           attempt_b);
 }
 
-TEST_CASE("claim - a full ledger refuses and forgets nothing") {
+TEST_CASE("claim - a full table refuses new keys and evicts nothing") {
     claim_table table({"w-1", 1}, three_witnesses, retention, start, 2);
     table.skip_recovery();
     static_cast<void>(claim(table, record_of(attempt_a, "1"), "w-1"));
@@ -132,7 +132,7 @@
     CHECK(second.tick(start + milliseconds{1000}).empty());
 }
 
-TEST_CASE("claim - an answer of a recovering voter does not count") {
+TEST_CASE("claim - a recovery reply of a recovering voter does not count") {
     const process_id one{"w-1", 2};
     const process_id two{"w-2", 2};
     claim_table first(one, three_witnesses, retention, start);
@@ -147,7 +147,7 @@
     CHECK(first.is_recovered(start + retention));
 }
 
-TEST_CASE("claim - an answer to an earlier incarnation does not count") {
+TEST_CASE("claim - a recovery reply to an earlier incarnation does not count") {
     claim_table second({"w-2", 3}, three_witnesses, retention, start);
     claim_table first = recovered_table("w-1");
     claim_table third = recovered_table("w-3");
@@ -165,7 +165,7 @@
     CHECK_FALSE(claim(table, record_of(attempt_a), "w-1", later).recovering);
 }
 
-TEST_CASE("claim - recovered claims that contradict give no vote") {
+TEST_CASE("claim - a witness does not vote on conflicting recovered claims") {
     claim_table first = recovered_table("w-1");
     claim_table third = recovered_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
@@ -223,7 +223,7 @@
     CHECK(shared > 0);
 }
 
-TEST_CASE("claim - a recovery answer keeps the age of its records") {
+TEST_CASE("claim - a recovery reply keeps the age of its records") {
     claim_table first = recovered_table("w-1");
     claim_table third = recovered_table("w-3");
     static_cast<void>(claim(first, record_of(attempt_a), "w-1"));
@@ -239,7 +239,7 @@
     CHECK(second.size() == 0);
 }
 
-TEST_CASE("claim - a large recovery comes in pages") {
+TEST_CASE("claim - a large recovery reply is split into pages") {
     claim_table first = recovered_table("w-1");
     claim_table third = recovered_table("w-3");
     for (int index = 0; index < 9000; ++index)
@@ -304,7 +304,7 @@
     CHECK(reused.verdict() == claim_verdict::key_reused);
 }
 
-TEST_CASE("claim - a vote of a lost incarnation does not count") {
+TEST_CASE("claim - a vote of an earlier incarnation does not count") {
     claim_tally tally(record_of(attempt_a), three_witnesses);
     tally.add(vote_of({"w-2", 1}, attempt_a, attempt_a));
     claim_reply later = vote_of({"w-1", 1}, attempt_a, attempt_a);
@@ -318,9 +318,10 @@
     CHECK(tally.verdict() == claim_verdict::won);
 }
 
-TEST_CASE("claim - an amnesiac voter cannot give its key twice") {
-    // A has the vote of w-2, which restarts; B gets the votes of the new w-2
-    // and of w-3; A's claim reaches w-1 last.
+TEST_CASE("claim - a restarted voter cannot grant a key twice") {
+    // Guards against two attempts winning one key: A wins the vote of w-2,
+    // which then restarts; B wins the votes of the restarted w-2 and of w-3;
+    // A's claim reaches w-1 last.
     claim_table first = recovered_table("w-1");
     claim_table second = recovered_table("w-2");
     claim_table third = recovered_table("w-3");
@@ -338,7 +339,7 @@
         tally_a.add(claim(first, record_of(attempt_a), "w-1"));
         CHECK(tally_a.verdict() != claim_verdict::won);
     }
-    SECTION("w-1 restarted too and learned of it by its own recovery") {
+    SECTION("w-1 restarted too and recovered the new incarnation of w-2") {
         const process_id one{"w-1", 2};
         claim_table recovered(one, three_witnesses, retention, start);
         recover(recovered, one, restarted);
@@ -348,9 +349,9 @@
     }
 }
 
-TEST_CASE("claim - a voter restarted twice still knows who restarted") {
-    // As above, but B claims only after w-1 has recovered, so that nothing but
-    // `known` keeps A's old vote from counting.
+TEST_CASE("claim - a restarted voter recovers the incarnations of others") {
+    // As in the test before, but B has not claimed the key when w-1 recovers,
+    // so that only `known` keeps A's vote of the old w-2 from counting.
     claim_table second = recovered_table("w-2");
     claim_table third = recovered_table("w-3");
     claim_table first = recovered_table("w-1");
--- a/tests/request_properties.cpp
+++ b/tests/request_properties.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::uint32_t steps_per_schedule = 1500;
 
-/// Runs schedules of seeds 1 to `count` and sums up their reports.
+/// Runs schedules with seeds 1 to `count` and returns the sum of their
+/// reports.
 request_report run_schedules(std::uint64_t count, request_faults faults) {
     request_report total;
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
@@ -43,14 +44,14 @@
     CHECK(report.answered > report.begun / 2);
 }
 
-TEST_CASE("requests - broken links keep the three outcomes") {
+TEST_CASE("requests - outcomes are correct when links break") {
     request_faults faults;
     faults.link_breaks = 20;
     faults.time_jumps = 1;
     run_schedules(300, faults);
 }
 
-TEST_CASE("requests - restarted agents keep the three outcomes") {
+TEST_CASE("requests - outcomes are correct when agents restart") {
     request_faults faults;
     faults.agent_restarts = 8;
     faults.link_breaks = 10;
@@ -58,7 +59,7 @@
     run_schedules(300, faults);
 }
 
-TEST_CASE("requests - restarted witnesses give no key twice") {
+TEST_CASE("requests - restarted witnesses grant no key twice") {
     request_faults faults;
     faults.witness_restarts = 3;
     faults.claim_drops = 10;
@@ -75,7 +76,7 @@
     run_schedules(300, faults);
 }
 
-TEST_CASE("requests - all faults together keep every promise") {
+TEST_CASE("requests - all faults together violate no guarantee") {
     request_faults faults;
     faults.link_breaks = 8;
     faults.agent_restarts = 3;
--- a/tests/support/request_cluster.cpp
+++ b/tests/support/request_cluster.cpp
@@ -303,14 +303,14 @@
                                 back_end_run{order, order.version, false, 0});
     const auto known = attempts_.find(order.attempt);
     if (known == attempts_.end()) {
-        report_violation("an attempt ran that no broker sent");
+        report_violation("an attempt ran that no broker dispatched");
         return;
     }
     caller_request& request = requests_.at(known->second);
     request.ran = true;
     if (request.reported_not_run)
         report_violation(to_string(order.attempt) +
-                         " ran after not-run was told");
+                         " ran after its request was reported as not-run");
     if (!order.non_idempotent)
         return;
     ++report_.keyed_runs;
@@ -332,8 +332,8 @@
         ++report_.answered;
         if (request.text !=
             complete_text(request.incoming.body, request.version))
-            report_violation(
-                fmt::format("request {} got '{}'", id, request.text));
+            report_violation(fmt::format("request {} got the wrong answer '{}'",
+                                         id, request.text));
         return;
     }
     if (refusal->result == outcome::unknown) {
@@ -343,8 +343,9 @@
     ++report_.not_run;
     request.reported_not_run = true;
     if (request.ran)
-        report_violation(fmt::format("request {} was told not-run ({}) but ran",
-                                     id, refusal->reason));
+        report_violation(
+            fmt::format("request {} was reported as not-run ({}) but ran", id,
+                        refusal->reason));
 }
 
 // ---- Time ------------------------------------------------------------------
--- a/tests/support/request_cluster.hpp
+++ b/tests/support/request_cluster.hpp
@@ -18,21 +18,22 @@
 
 namespace ospreystage::support {
 
-/// Faults in 1000 steps of a schedule.
+/// Average number of faults of each kind in 1000 steps of a schedule.
 struct request_faults {
     std::uint32_t link_breaks = 0;
     std::uint32_t agent_restarts = 0;
     std::uint32_t entry_restarts = 0;
     std::uint32_t witness_restarts = 0;
-    std::uint32_t claim_drops = 0; ///< A link to a witness loses its content.
+    std::uint32_t claim_drops = 0; ///< A queue to or from a witness is emptied.
     std::uint32_t back_end_failures = 0;
     std::uint32_t wrong_versions = 0;
     std::uint32_t version_changes = 0;
-    std::uint32_t pauses = 0;     ///< A process stands still for a while.
-    std::uint32_t time_jumps = 0; ///< Nothing happens for half a second.
+    std::uint32_t pauses = 0; ///< An agent or an entry pauses for `pause_time`.
+    std::uint32_t time_jumps =
+        0; ///< The clock advances by `time_jump` at once.
 };
 
-/// What a schedule came to.
+/// Result of a schedule.
 struct request_report {
     std::vector<std::string> violations;
     std::uint64_t begun = 0;
@@ -40,28 +41,29 @@
     std::uint64_t not_run = 0;
     std::uint64_t unknown = 0;
     std::uint64_t lost_with_entry = 0;
-    std::uint64_t runs = 0;       ///< Attempts that a back end has begun.
+    std::uint64_t runs = 0;       ///< Attempts that a back end started.
     std::uint64_t keyed_runs = 0; ///< Those of non-idempotent requests.
 };
 
-/// Brokers, attempt schedulers and claim tables joined by queues in place of
-/// connections.
+/// Simulates brokers, attempt schedulers and claim tables that are connected
+/// by queues instead of connections.
 ///
 /// A schedule picks the next delivery, back-end event, request or fault at
 /// random from its seed. It checks that each request has one outcome, that a
-/// request told `not-run` has not run and never does, that a key runs at most
-/// once, and that answers are whole and from one version.
+/// request reported as `not-run` has not run and never does, that a key runs
+/// at most once, and that answers are complete and from one version.
 class request_cluster {
   public:
     request_cluster(std::uint64_t seed, request_faults faults);
 
-    /// Runs `steps` random steps, then lets everything end without faults.
+    /// Runs `steps` random steps, then runs without faults until all requests
+    /// have had time to end.
     [[nodiscard]] request_report run(std::uint32_t steps);
 
   private:
     struct back_end_run {
         run_order order;
-        digest version; ///< That answers, right or wrong.
+        digest version; ///< Version that answers; may be the wrong one.
         bool begun = false;
         std::uint32_t next_token = 0;
     };
@@ -71,7 +73,7 @@
         std::vector<digest> versions;
         std::unique_ptr<attempt_scheduler> value;
         std::map<attempt_id, back_end_run> runs;
-        /// Highest incarnation and epoch greeted with, per entry.
+        /// Highest incarnation and epoch of an accepted `hello`, per entry.
         std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
             latest_hello;
         instant paused_until{};
@@ -93,8 +95,8 @@
         process_id agent_id;
         std::uint64_t epoch = 0;
         bool entry_open = true;
-        bool established = false;    ///< The entry has got `hello_reply`.
-        bool hello_accepted = false; ///< The agent has accepted `hello`.
+        bool established = false;    ///< The entry received `hello_reply`.
+        bool hello_accepted = false; ///< The agent accepted `hello`.
         bool agent_closed = false;
         std::deque<message> to_agent;
         std::deque<message> to_entry;
@@ -164,7 +166,8 @@
     std::vector<agent_node> agents_;
     std::vector<witness_node> witnesses_;
     std::deque<connection> links_;
-    /// By sender and receiver; witnesses are numbered after the entries.
+    /// Queues by sender and receiver index; witnesses are numbered after the
+    /// entries.
     std::map<std::pair<std::size_t, std::size_t>, std::deque<claim_frame>>
         claim_queues_;
     std::map<request_key, caller_request> requests_;
