--- a/include/ospreystage/impl/broker_state.hpp
+++ b/include/ospreystage/impl/broker_state.hpp
@@ -162,7 +162,7 @@
     [[nodiscard]] std::vector<balancer_candidate>
     candidates(const request_state& state, const digest& version,
                instant now) const;
-    [[nodiscard]] bool may_become_usable(const request_state& state) const;
+    [[nodiscard]] bool may_find_agent(const request_state& state) const;
     /// Returns how many attempts of a service this entry may have in flight;
     /// 0: unknown.
     [[nodiscard]] std::uint32_t slot_count(const std::string& service,
@@ -171,10 +171,11 @@
                         const digest& version, instant now);
     void end_attempt(request_state& state);
     /// Handles an attempt that never ran and never will.
-    void on_sealed(request_id request, refusal reason, milliseconds retry_after,
-                   instant now);
+    void on_attempt_not_run(request_id request, refusal reason,
+                            milliseconds retry_after, instant now);
     /// Handles an attempt that may have run and whose answer is lost.
-    void on_lost(request_id request, const std::string& reason, instant now);
+    void on_attempt_lost(request_id request, const std::string& reason,
+                         instant now);
     void retry(request_id request, const std::string& reason,
                bool exempt_from_budget, instant now);
 
@@ -200,8 +201,8 @@
     void send_to_agent(const process_id& agent, message body);
     [[nodiscard]] std::vector<request_id>
     requests_on(const std::string& agent) const;
-    void resolve(request_id request, const process_id& agent,
-                 const std::vector<attempt_id>& started, instant now);
+    void resolve_attempt(request_id request, const process_id& agent,
+                         const std::vector<attempt_id>& started, instant now);
     void on_load_report(const process_id& from, const load_report& report,
                         instant now);
 
--- a/src/requests/broker_answers.cpp
+++ b/src/requests/broker_answers.cpp
@@ -53,7 +53,7 @@
             [&](const run_failed& failed) {
                 with(failed.attempt, [&](request_id request) {
                     requests_.at(request).excluded_agents.insert(from.name);
-                    on_lost(request, "run_failed", now);
+                    on_attempt_lost(request, "run_failed", now);
                 });
             },
             [&](const claim_reply& reply) {
@@ -91,7 +91,8 @@
         abort_attempt(request, "refused_after_begin", now);
         return;
     }
-    on_sealed(request, body.reason, milliseconds{body.retry_after_ms}, now);
+    on_attempt_not_run(request, body.reason, milliseconds{body.retry_after_ms},
+                       now);
 }
 
 void broker_state::on_begin(request_id request, const answer_begin& body,
@@ -166,7 +167,7 @@
     state.excluded_agents.insert(attempt.agent.name);
     actions_.emplace_back(
         send_action{attempt.agent.name, cancel_order{attempt.id}});
-    on_lost(request, reason, now);
+    on_attempt_lost(request, reason, now);
 }
 
 void broker_state::forward_begin(request_id request, request_state& state) {
--- a/src/requests/broker_dispatch.cpp
+++ b/src/requests/broker_dispatch.cpp
@@ -67,7 +67,7 @@
         if (dispatch_version(request, version, now))
             return;
     }
-    if (now < state.phase_deadline && may_become_usable(state))
+    if (now < state.phase_deadline && may_find_agent(state))
         return;
     fail_request(request,
                  state.last_reason.empty() ? "no_backend_server"
@@ -200,7 +200,7 @@
     return slots;
 }
 
-bool broker_state::may_become_usable(const request_state& state) const {
+bool broker_state::may_find_agent(const request_state& state) const {
     const auto subset = subsets_.find(state.incoming.service);
     if (subset == subsets_.end())
         return false;
@@ -259,8 +259,8 @@
     state.buffered.clear();
 }
 
-void broker_state::on_sealed(request_id request, refusal reason,
-                             milliseconds retry_after, instant now) {
+void broker_state::on_attempt_not_run(request_id request, refusal reason,
+                                      milliseconds retry_after, instant now) {
     request_state& state = requests_.at(request);
     if (reason != refusal::stale_epoch)
         state.excluded_agents.insert(state.attempt->agent.name);
@@ -274,8 +274,8 @@
     retry(request, reason_of(reason), first, now);
 }
 
-void broker_state::on_lost(request_id request, const std::string& reason,
-                           instant now) {
+void broker_state::on_attempt_lost(request_id request,
+                                   const std::string& reason, instant now) {
     request_state& state = requests_.at(request);
     state.attempt_lost = true;
     end_attempt(state);
--- a/src/requests/broker_links.cpp
+++ b/src/requests/broker_links.cpp
@@ -102,18 +102,18 @@
     state.link_up = true;
     state.id = agent;
     for (const request_id id : requests_on(agent.name))
-        resolve(id, agent, started, now);
+        resolve_attempt(id, agent, started, now);
     for (const request_id id : requests_in(request_phase::choosing))
         dispatch(id, now);
 }
 
-void broker_state::resolve(request_id request, const process_id& agent,
-                           const std::vector<attempt_id>& started,
-                           instant now) {
+void broker_state::resolve_attempt(request_id request, const process_id& agent,
+                                   const std::vector<attempt_id>& started,
+                                   instant now) {
     request_state& state = requests_.at(request);
     const attempt_state& attempt = *state.attempt;
     if (attempt.agent != agent) {
-        on_lost(request, "agent_restarted", now);
+        on_attempt_lost(request, "agent_restarted", now);
         return;
     }
     // After the deadline the agent may have evicted the record of a started
@@ -123,11 +123,11 @@
         return;
     }
     if (!contains(started, attempt.id)) {
-        on_sealed(request, refusal::stale_epoch, milliseconds{0}, now);
+        on_attempt_not_run(request, refusal::stale_epoch, milliseconds{0}, now);
         return;
     }
     if (!state.incoming.non_idempotent) {
-        on_lost(request, "link_lost", now);
+        on_attempt_lost(request, "link_lost", now);
         return;
     }
     // The agent resends the answer from its first part.
@@ -147,7 +147,7 @@
         const bool can_retry =
             !state.incoming.non_idempotent && retry_budget_.available() > 0;
         if (can_retry) {
-            on_lost(id, "link_lost", now);
+            on_attempt_lost(id, "link_lost", now);
             continue;
         }
         state.phase = request_phase::resolving;
--- a/tests/support/request_cluster.cpp
+++ b/tests/support/request_cluster.cpp
@@ -251,10 +251,10 @@
     request.begun_at = now_;
     requests_.emplace(request_key{node.id, id}, std::move(request));
     ++report_.begun;
-    apply(index, node.value->begin(id, incoming, now_));
+    apply_at_entry(index, node.value->begin(id, incoming, now_));
     if (happens(20)) {
         requests_.at({node.id, id}).ended = true;
-        apply(index, node.value->cancel(id, now_));
+        apply_at_entry(index, node.value->cancel(id, now_));
     }
 }
 
@@ -357,7 +357,7 @@
     });
     for (std::size_t index = 0; index < entries_.size(); ++index) {
         if (entries_[index].paused_until <= now_)
-            apply(index, entries_[index].value->tick(now_));
+            apply_at_entry(index, entries_[index].value->tick(now_));
     }
     for (std::size_t index = 0; index < agents_.size(); ++index) {
         if (agents_[index].paused_until <= now_)
--- a/tests/support/request_cluster.hpp
+++ b/tests/support/request_cluster.hpp
@@ -143,7 +143,7 @@
                            const claim_frame& frame);
     void send_claim_frame(std::size_t from, std::size_t to, message body);
     [[nodiscard]] const process_id& id_of(std::size_t index) const;
-    void apply(std::size_t entry, const broker::actions& actions);
+    void apply_at_entry(std::size_t entry, const broker::actions& actions);
     void apply_at_agent(std::size_t agent,
                         const attempt_scheduler::actions& actions);
     void send_frame_to_entry(std::size_t agent, const send_to_entry& send);
--- a/tests/support/request_cluster_links.cpp
+++ b/tests/support/request_cluster_links.cpp
@@ -40,7 +40,7 @@
     link.entry_open = false;
     const std::size_t entry = link.entry;
     const std::string agent = agents_[link.agent].id.name;
-    apply(entry, entries_[entry].value->on_link_down(agent, now_));
+    apply_at_entry(entry, entries_[entry].value->on_link_down(agent, now_));
 }
 
 void request_cluster::deliver_to_agent() {
@@ -122,11 +122,11 @@
     broker& target = *entries_[entry].value;
     if (const auto* greeting = std::get_if<hello_reply>(&body)) {
         link.established = true;
-        apply(entry,
-              target.on_link_up(greeting->sender, greeting->started, now_));
+        apply_at_entry(entry, target.on_link_up(greeting->sender,
+                                                greeting->started, now_));
         return;
     }
-    apply(entry, target.on_message(link.agent_id, body, now_));
+    apply_at_entry(entry, target.on_message(link.agent_id, body, now_));
 }
 
 void request_cluster::report_loads() {
@@ -148,7 +148,8 @@
 
 // ---- Actions ---------------------------------------------------------------
 
-void request_cluster::apply(std::size_t entry, const broker::actions& actions) {
+void request_cluster::apply_at_entry(std::size_t entry,
+                                     const broker::actions& actions) {
     const process_id id = entries_[entry].id;
     const auto live = [&](request_id request) -> caller_request& {
         caller_request& found = requests_.at({id, request});
@@ -263,7 +264,8 @@
         return;
     }
     if (entries_[to].paused_until <= now_)
-        apply(to, entries_[to].value->on_message(frame.from, frame.body, now_));
+        apply_at_entry(
+            to, entries_[to].value->on_message(frame.from, frame.body, now_));
 }
 
 void request_cluster::handle_at_witness(std::size_t index, std::size_t sender,
