--- a/include/ospreystage/requests/request_service.hpp
+++ b/include/ospreystage/requests/request_service.hpp
@@ -11,18 +11,18 @@
 
 namespace ospreystage {
 
-/// Shell of the broker: carries its actions to links and callers.
+/// Runs the broker: performs its actions on links and callers.
 class request_service {
   public:
-    /// Hands an event of a request to its caller.
+    /// Receives the events of a request that are for its caller.
     using callback = std::function<void(request_id, const exchange_event&)>;
 
     // ---- Construction ------------------------------------------------------
 
     request_service(kernel& core, const settings& configuration,
-                    callback deliver);
+                    callback on_event);
 
-    /// Subscribes to links and starts the tick; before `links::start`.
+    /// Subscribes to links and starts the timer; call before `links::start`.
     void start();
 
     // ---- Observers ---------------------------------------------------------
@@ -34,35 +34,36 @@
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Takes a caller's request.
+    /// Begins a caller's request.
     void begin(request_id id, incoming_request incoming);
 
-    /// The caller went away.
+    /// Cancels a request whose caller disconnected.
     void cancel(request_id id);
 
-    /// Uses `document` from now on.
+    /// Sets the rollout document for requests that begin from now on.
     void set_document(std::shared_ptr<const rollout_document> document);
 
-    /// Replaces the agents that may get work.
+    /// Replaces the agents that may receive attempts.
     void set_agents(const std::vector<member>& agents);
 
-    /// Tells which entries share the agents.
+    /// Sets the names of the live entries, which divide the agents among
+    /// themselves.
     void set_entries(std::vector<std::string> entries);
 
-    /// Refuses new requests; those in progress go on.
+    /// Refuses new requests; those in progress continue.
     void set_leaving();
 
   private:
     template <typename Message>
     void forward();
     void perform(broker::actions actions);
-    void deliver(const std::string& process, const message& body);
-    void deliver_to_own_claim_table(const message& body);
-    void probe(const std::string& agent);
+    void send_message(const std::string& process, const message& body);
+    void send_to_local_claim_table(const message& body);
+    void connect(const std::string& agent);
 
     kernel& core_;
     links& links_;
-    callback to_caller_;
+    callback on_event_;
     broker broker_;
 };
 
