--- a/include/ospreystage/requests/admission.hpp
+++ b/include/ospreystage/requests/admission.hpp
@@ -76,14 +76,14 @@
     /// but the total one.
     void set_slots(const std::string& service, std::uint32_t slots);
 
-    [[nodiscard]] admission_decision offer(const admission_ticket& ticket,
+    [[nodiscard]] admission_decision admit(const admission_ticket& ticket,
                                            instant now);
 
     /// Returns waiting requests that may be dispatched from now on.
     [[nodiscard]] std::vector<request_id> take_startable(instant now);
 
     /// Returns and drops waiting requests that can't be served in time.
-    [[nodiscard]] std::vector<request_id> take_hopeless(instant now);
+    [[nodiscard]] std::vector<request_id> take_unservable(instant now);
 
     /// A request ended; `answered` says whether its time counts for estimates.
     void end(request_id request, bool answered, instant now);
@@ -94,9 +94,9 @@
         std::uint32_t rate = 0; ///< Tokens a second; 0: unlimited.
         std::uint32_t burst = 1;
         double tokens = 0;
-        instant filled_at{};
+        instant refilled_at{};
     };
-    struct place {
+    struct request_record {
         admission_ticket ticket;
         bool running = false;
         instant started_at{};
@@ -123,14 +123,14 @@
                       const organisation_queues& queues) const;
     /// Time that a request of the ticket's class takes once dispatched.
     [[nodiscard]] static milliseconds
-    expected_service(const pool& target, const admission_ticket& ticket);
+    expected_service_time(const pool& target, const admission_ticket& ticket);
     void start(pool& target, request_id request, instant now);
     static void remove_waiting(pool& target, const admission_ticket& ticket);
 
     std::size_t limit_ = 0;
     absl::flat_hash_map<std::string, bucket> buckets_;
     std::map<std::string, pool> pools_;
-    absl::flat_hash_map<request_id, place> places_;
+    absl::flat_hash_map<request_id, request_record> requests_;
     std::uint64_t rate_limited_ = 0;
     std::uint64_t overloaded_ = 0;
 };
--- a/include/ospreystage/requests/attempt_scheduler.hpp
+++ b/include/ospreystage/requests/attempt_scheduler.hpp
@@ -70,7 +70,7 @@
         std::vector<attempt_id> started; ///< For `hello_reply`.
         /// Effects after the `hello_reply` was sent: answers that the entry
         /// may have missed are sent again from their first part.
-        actions effects;
+        actions actions_after_hello;
     };
 
     // ---- Construction ------------------------------------------------------
@@ -98,7 +98,7 @@
 
     /// Replaces what is served. Queued attempts whose version is gone are
     /// refused; running ones go on.
-    [[nodiscard]] actions set_service(scheduled_service served, instant now);
+    [[nodiscard]] actions set_service(scheduled_service service, instant now);
 
     /// Refuses new attempts; queued and running ones go on to their end.
     void set_leaving();
@@ -156,12 +156,12 @@
         run_order order;
         std::uint64_t epoch = 0; ///< Connection that the order came on.
         instant deadline{};
-        instant forget_at{};
-        bool begun = false;
-        bool answer_kept = false; ///< `answer` holds every frame so far.
+        instant prune_at{};
+        bool has_begun = false;
+        bool is_answer_retained = false; ///< `answer` holds every frame so far.
         std::vector<message> answer;
         std::size_t answer_bytes = 0;
-        std::uint32_t parts = 0;
+        std::uint32_t part_count = 0;
     };
 
     /// Latest connection of an entry.
@@ -169,15 +169,15 @@
         process_id entry;
         std::uint64_t epoch = 0;
         /// Sequences up to this one were forgotten; orders with them are void.
-        std::uint64_t forgotten = 0;
+        std::uint64_t pruned_up_to = 0;
     };
 
     /// Place in the queue: higher priority first, then arrival.
-    struct queue_place {
+    struct queue_position {
         std::uint32_t priority = 0;
         std::uint64_t arrival = 0;
-        friend bool operator<(const queue_place& left,
-                              const queue_place& right) noexcept {
+        friend bool operator<(const queue_position& left,
+                              const queue_position& right) noexcept {
             if (left.priority != right.priority)
                 return left.priority > right.priority;
             return left.arrival < right.arrival;
@@ -190,39 +190,39 @@
     [[nodiscard]] std::optional<refusal>
     find_service_refusal(const run_order& order) const;
     [[nodiscard]] attempt_record* find_running(const attempt_id& attempt);
-    entry_record& record_entry(const process_id& entry, std::uint64_t epoch);
+    entry_record& update_entry(const process_id& entry, std::uint64_t epoch);
     void refuse(const run_order& order, refusal reason, instant now,
                 actions& out);
     void seal_queued(const attempt_id& attempt, refusal reason, instant now,
                      actions& out);
-    void forget_later(const attempt_id& attempt, attempt_record& record,
-                      instant now);
+    void schedule_pruning(const attempt_id& attempt, attempt_record& record,
+                          instant now);
     void remove_from_queue(const attempt_id& attempt);
     void finish(const attempt_id& attempt, attempt_record& record, instant now);
     void fail_running(const attempt_id& attempt, attempt_record& record,
                       const std::string& detail, instant now, actions& out);
-    void emit(attempt_record& record, message frame, actions& out);
-    void keep_frame(attempt_record& record, const message& frame);
+    void send_frame(attempt_record& record, message frame, actions& out);
+    void retain_frame(attempt_record& record, const message& frame);
     void drop_answer(attempt_record& record);
     void start_queued(instant now, actions& out);
     void expire_queued(instant now, actions& out);
-    void stop_overdue(instant now, actions& out);
-    void forget_old(instant now);
-    void replay(const attempt_id& attempt, const attempt_record& record,
-                actions& out) const;
+    void cancel_overdue(instant now, actions& out);
+    void prune_history(instant now);
+    void resend_answer(const attempt_id& attempt, const attempt_record& record,
+                       actions& out) const;
 
     process_id self_;
     std::uint32_t capacity_ = 0;
     std::uint32_t queue_limit_ = 0;
-    scheduled_service served_;
+    scheduled_service service_;
     bool leaving_ = false;
     absl::flat_hash_map<attempt_id, attempt_record> attempts_;
-    absl::btree_map<queue_place, attempt_id> queue_;
+    absl::btree_map<queue_position, attempt_id> queue_;
     absl::flat_hash_set<attempt_id> running_;
-    absl::btree_set<std::pair<instant, attempt_id>> forget_;
+    absl::btree_set<std::pair<instant, attempt_id>> pruning_schedule_;
     absl::flat_hash_map<std::string, entry_record> entries_;
-    std::uint64_t arrivals_ = 0;
-    std::size_t kept_bytes_ = 0;
+    std::uint64_t arrival_count_ = 0;
+    std::size_t retained_bytes_ = 0;
     std::uint64_t refused_total_ = 0;
     std::uint64_t started_total_ = 0;
 };
--- a/include/ospreystage/requests/attempt_service.hpp
+++ b/include/ospreystage/requests/attempt_service.hpp
@@ -19,7 +19,7 @@
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::uint32_t capacity = 0;
-    instant measured{};
+    instant measured_at{};
     std::vector<std::uint64_t> prefixes; ///< Blocks that it caches.
 };
 
@@ -49,7 +49,7 @@
     // ---- Modifiers ---------------------------------------------------------
 
     /// Replaces what is served.
-    void set_service(scheduled_service served);
+    void set_service(scheduled_service service);
 
     /// Notes the back end's own figures.
     void set_load(back_end_load load);
@@ -58,7 +58,7 @@
     void set_leaving();
 
   private:
-    void on_back_end(const attempt_id& attempt, back_end_event event);
+    void on_back_end_event(const attempt_id& attempt, back_end_event event);
     void perform(attempt_scheduler::actions actions);
     void send(const process_id& entry, const message& body);
     void report_load();
@@ -68,12 +68,12 @@
     const settings& configuration_;
     links& links_;
     attempt_scheduler scheduler_;
-    scheduled_service served_;
+    scheduled_service service_;
     back_end_load load_;
     prefix_map prefixes_;
     absl::flat_hash_map<process_id, connection_id> entries_;
     absl::flat_hash_map<std::uint64_t, attempt_scheduler::actions>
-        after_greeting_;
+        actions_after_hello_;
     back_end back_end_;
 };
 
--- a/include/ospreystage/requests/back_end.hpp
+++ b/include/ospreystage/requests/back_end.hpp
@@ -67,12 +67,13 @@
   private:
     struct running_call {
         call_id call{};
-        bool may_refuse = false; ///< A refusal says that it did not run.
-        bool wants_stream = false;
+        bool refusal_means_not_run =
+            false; ///< A refusal says that it did not run.
+        bool stream_requested = false;
         bool is_event_stream = false;
-        bool has_stream_end = false;
+        bool stream_complete = false;
         std::uint16_t refused_status = 0; ///< 0: not refused.
-        instant last_heard{};
+        instant last_received{};
         event_splitter splitter;
     };
 
@@ -80,7 +81,7 @@
     void on_body(const attempt_id& attempt, std::string_view data);
     void on_ended(const attempt_id& attempt, call_end end);
     void fail(const attempt_id& attempt, back_end_failed failure);
-    void end_silent();
+    void fail_silent_calls();
 
     kernel& core_;
     std::string url_;
--- a/include/ospreystage/requests/balancer.hpp
+++ b/include/ospreystage/requests/balancer.hpp
@@ -20,14 +20,14 @@
     std::uint32_t outstanding = 0; ///< Attempts of this entry in flight there.
     std::uint32_t reported = 0;    ///< Running and queued, of every entry.
     /// This entry's attempts in flight there when the report came.
-    std::uint32_t outstanding_then = 0;
+    std::uint32_t outstanding_at_report = 0;
     std::uint32_t capacity = 1;
     milliseconds age{};      ///< Age of the reported figures.
     bool has_prefix = false; ///< Reports the request's prompt prefix.
 };
 
 /// Returns how much a report of this age still counts, from 1 down to 0.
-[[nodiscard]] double load_weight(milliseconds age) noexcept;
+[[nodiscard]] double report_weight(milliseconds age) noexcept;
 
 /// Estimates the load of a candidate as a share of its capacity.
 ///
@@ -61,7 +61,7 @@
     choose(const std::vector<balancer_candidate>& candidates);
 
   private:
-    [[nodiscard]] std::size_t any(std::size_t count);
+    [[nodiscard]] std::size_t random_index(std::size_t count);
     [[nodiscard]] std::size_t
     two_choices(const std::vector<balancer_candidate>& candidates);
 
--- a/include/ospreystage/requests/caller_api.hpp
+++ b/include/ospreystage/requests/caller_api.hpp
@@ -45,7 +45,7 @@
 
     /// Adds the routes to `server`.
     caller_api(kernel& core, const settings& configuration, api_server& server,
-               metrics& measures, dependencies needs);
+               metrics& registry, dependencies callbacks);
 
     // ---- Observers ---------------------------------------------------------
 
@@ -65,9 +65,10 @@
   private:
     struct open_request {
         exchange_id exchange{};
-        instant arrived{};
-        bool wants_stream = false; ///< Parts go to the caller as they arrive.
-        bool is_begun = false;
+        instant arrived_at{};
+        bool stream_requested =
+            false; ///< Parts go to the caller as they arrive.
+        bool has_begun = false;
         bool is_event_stream = false;
         http_response answer; ///< Collected, unless it is a stream.
         std::optional<instant> unread_since;
@@ -78,22 +79,22 @@
     void handle_plain(exchange_id exchange, const api_request& request);
     void serve(exchange_id exchange, incoming_request incoming);
     void begin_answer(open_request& request, const answer_begin_action& begin);
-    void take_part(open_request& request, const answer_part_action& part);
+    void deliver_part(open_request& request, const answer_part_action& part);
     void end_answer(request_id id);
     void refuse(request_id id, const refuse_action& refusal);
     void close(request_id id);
-    void on_abandoned(exchange_id exchange);
-    void end_unread();
+    void on_caller_disconnected(exchange_id exchange);
+    void abort_unread();
 
     kernel& core_;
     const settings& configuration_;
     api_server& server_;
-    metrics& measures_;
-    dependencies needs_;
+    metrics& metrics_;
+    dependencies dependencies_;
     absl::flat_hash_map<request_id, open_request> open_;
     absl::flat_hash_map<std::uint64_t, request_id> by_exchange_;
     request_id next_id_ = 1;
-    bool has_ended_ = false;
+    bool is_stopped_ = false;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/requests/chunk_assignment.hpp
+++ b/include/ospreystage/requests/chunk_assignment.hpp
@@ -64,11 +64,11 @@
 
     /// Computes the assignment.
     ///
-    /// `silent` names readers that others must stand in for.
+    /// `silent_readers` names readers that others must stand in for.
     chunk_assignment(const distribution_strategy& strategy,
                      std::vector<swarm_member> members, const std::string& self,
                      const digest& version, std::uint32_t chunks,
-                     const std::vector<std::string>& silent = {});
+                     const std::vector<std::string>& silent_readers = {});
 
     // ---- Observers ---------------------------------------------------------
 
@@ -104,24 +104,24 @@
     [[nodiscard]] bool is_local(const std::string& peer) const;
 
     /// Returns true if the strategy lets this agent fetch from `peer`.
-    [[nodiscard]] bool may_ask(const std::string& peer) const;
+    [[nodiscard]] bool may_fetch_from(const std::string& peer) const;
 
     /// Returns true if agents stand in for a reader that fails.
     [[nodiscard]] bool has_backup_readers() const noexcept {
-        return !restricted_;
+        return !has_fixed_sources_;
     }
 
   private:
-    struct placed_member {
+    struct member_record {
         std::string name;
         std::uint32_t data_centre = 0;
         std::uint64_t hash = 0;
     };
 
-    void place(const rendezvous_strategy& strategy);
-    void place(const direct_strategy& strategy);
-    void place(const tree_strategy& strategy);
-    void choose_readers(const std::vector<std::string>& silent);
+    void assign_roles(const rendezvous_strategy& strategy);
+    void assign_roles(const direct_strategy& strategy);
+    void assign_roles(const tree_strategy& strategy);
+    void choose_readers(const std::vector<std::string>& silent_readers);
     void choose_neighbours();
     [[nodiscard]] chunk_role role_of(std::uint32_t index) const;
     [[nodiscard]] std::vector<std::size_t>
@@ -131,15 +131,15 @@
     [[nodiscard]] std::size_t
     position_of(const std::string& name) const noexcept;
 
-    std::vector<placed_member> members_; ///< Sorted by name.
-    std::uint32_t data_centres_ = 0;
+    std::vector<member_record> members_; ///< Sorted by name.
+    std::uint32_t data_centre_count_ = 0;
     std::size_t self_ = 0;
     std::uint64_t version_hash_ = 0;
     std::vector<std::size_t> active_readers_;
     std::vector<std::string> readers_;
     std::vector<std::string> neighbours_;
     std::vector<std::string> sources_; ///< Tree: the parent alone.
-    bool restricted_ = false;          ///< Only `sources_` may be asked.
+    bool has_fixed_sources_ = false;   ///< Only `sources_` may be asked.
     bool is_reader_ = false;
     std::uint32_t origin_copies_ = 1;
     std::uint32_t target_readers_ = 1;
--- a/include/ospreystage/requests/prompt_prefix.hpp
+++ b/include/ospreystage/requests/prompt_prefix.hpp
@@ -38,7 +38,7 @@
 class prefix_map {
   public:
     /// Notes the prompt of a request that is forwarded to the engine.
-    void note(const digest& version, const std::string& body);
+    void record(const digest& version, const std::string& body);
 
     /// Returns the entries' hashes of those `blocks` that are known.
     [[nodiscard]] std::vector<std::uint64_t>
@@ -46,7 +46,7 @@
 
   private:
     absl::flat_hash_map<std::uint64_t, std::uint64_t> prefixes_;
-    std::deque<std::uint64_t> order_; ///< Blocks, oldest first.
+    std::deque<std::uint64_t> insertion_order_; ///< Blocks, oldest first.
 };
 
 } // namespace ospreystage
--- a/src/app/agent_process.cpp
+++ b/src/app/agent_process.cpp
@@ -226,7 +226,7 @@
     load.running = state.running;
     load.queued = state.queued;
     load.capacity = state.capacity;
-    load.measured = steady::now() - state.age;
+    load.measured_at = steady::now() - state.age;
     load.prefixes = std::move(prefixes);
     attempts_.set_load(std::move(load));
 }
--- a/src/requests/admission.cpp
+++ b/src/requests/admission.cpp
@@ -16,7 +16,7 @@
 constexpr milliseconds min_retry_after{50};
 constexpr milliseconds max_retry_after{5000};
 
-milliseconds bounded_retry(double wait_ms) {
+milliseconds clamp_retry_after(double wait_ms) {
     const auto wait =
         milliseconds{static_cast<std::int64_t>(std::ceil(wait_ms))};
     return std::clamp(wait, min_retry_after, max_retry_after);
@@ -38,7 +38,7 @@
 // ---- Observers -------------------------------------------------------------
 
 std::size_t admission::size() const noexcept {
-    return places_.size();
+    return requests_.size();
 }
 
 milliseconds admission::expected_wait(const admission_ticket& ticket) const {
@@ -85,11 +85,11 @@
         value.rate = customer.requests_per_second;
         value.burst = std::max<std::uint32_t>(customer.burst, 1);
         value.tokens = value.burst;
-        value.filled_at = now;
+        value.refilled_at = now;
         const auto before = buckets_.find(customer.name);
         if (before != buckets_.end() && before->second.rate > 0) {
             value.tokens = std::min(before->second.tokens, value.tokens);
-            value.filled_at = before->second.filled_at;
+            value.refilled_at = before->second.refilled_at;
         }
         buckets.emplace(customer.name, value);
     }
@@ -100,26 +100,28 @@
     pools_[service].slots = slots;
 }
 
-admission_decision admission::offer(const admission_ticket& ticket,
+admission_decision admission::admit(const admission_ticket& ticket,
                                     instant now) {
     pool& target = pools_[ticket.service];
-    const bool free = (target.slots == 0 || target.running < target.slots) &&
-                      target.waiting.empty();
+    const bool has_free_slot =
+        (target.slots == 0 || target.running < target.slots) &&
+        target.waiting.empty();
     const milliseconds wait = expected_wait(ticket);
-    const bool late = !free && now + wait + expected_service(target, ticket) >
-                                   ticket.deadline;
-    if (places_.size() >= limit_ || late) {
+    const bool misses_deadline =
+        !has_free_slot &&
+        now + wait + expected_service_time(target, ticket) > ticket.deadline;
+    if (requests_.size() >= limit_ || misses_deadline) {
         ++overloaded_;
         return admission_refused{
-            "overloaded", bounded_retry(static_cast<double>(wait.count()))};
+            "overloaded", clamp_retry_after(static_cast<double>(wait.count()))};
     }
     milliseconds retry_after{};
     if (!take_token(ticket.organisation, now, retry_after)) {
         ++rate_limited_;
         return admission_refused{"rate_limited", retry_after};
     }
-    places_.emplace(ticket.request, place{ticket, false, {}});
-    if (free) {
+    requests_.emplace(ticket.request, request_record{ticket, false, {}});
+    if (has_free_slot) {
         start(target, ticket.request, now);
         return admission_granted{};
     }
@@ -136,7 +138,7 @@
             const organisation_queues& queues = target.waiting.begin()->second;
             const request_id request =
                 queues.at(next_organisation(target, queues)).front();
-            remove_waiting(target, places_.at(request).ticket);
+            remove_waiting(target, requests_.at(request).ticket);
             start(target, request, now);
             started.push_back(request);
         }
@@ -144,42 +146,42 @@
     return started;
 }
 
-std::vector<request_id> admission::take_hopeless(instant now) {
-    std::vector<request_id> hopeless;
-    for (const auto& [request, waiting] : places_) {
-        const milliseconds needed =
-            expected_service(pools_.at(waiting.ticket.service), waiting.ticket);
+std::vector<request_id> admission::take_unservable(instant now) {
+    std::vector<request_id> unservable;
+    for (const auto& [request, waiting] : requests_) {
+        const milliseconds needed = expected_service_time(
+            pools_.at(waiting.ticket.service), waiting.ticket);
         if (!waiting.running && now + needed >= waiting.ticket.deadline)
-            hopeless.push_back(request);
+            unservable.push_back(request);
     }
-    std::sort(hopeless.begin(), hopeless.end());
-    for (const request_id request : hopeless) {
+    std::sort(unservable.begin(), unservable.end());
+    for (const request_id request : unservable) {
         ++overloaded_;
         end(request, false, now);
     }
-    return hopeless;
+    return unservable;
 }
 
 void admission::end(request_id request, bool answered, instant now) {
-    const auto found = places_.find(request);
-    if (found == places_.end())
+    const auto found = requests_.find(request);
+    if (found == requests_.end())
         return;
-    const place& ended = found->second;
+    const request_record& ended = found->second;
     pool& target = pools_.at(ended.ticket.service);
     if (!ended.running) {
         remove_waiting(target, ended.ticket);
-        places_.erase(found);
+        requests_.erase(found);
         return;
     }
     --target.running;
     --target.running_by_organisation[ended.ticket.organisation];
     if (answered) {
-        const double took = in_milliseconds(now - ended.started_at);
-        update_average(target.service_ms, took);
+        const double service_time_ms = in_milliseconds(now - ended.started_at);
+        update_average(target.service_ms, service_time_ms);
         update_average(target.service_ms_by_class[ended.ticket.request_class],
-                       took);
+                       service_time_ms);
     }
-    places_.erase(found);
+    requests_.erase(found);
 }
 
 // ---- Details ---------------------------------------------------------------
@@ -191,14 +193,14 @@
         return true;
     bucket& own = found->second;
     const double rate_per_ms = own.rate / milliseconds_per_second;
-    const double earned = in_milliseconds(now - own.filled_at) * rate_per_ms;
-    own.tokens = std::min<double>(own.tokens + earned, own.burst);
-    own.filled_at = now;
+    const double refill = in_milliseconds(now - own.refilled_at) * rate_per_ms;
+    own.tokens = std::min<double>(own.tokens + refill, own.burst);
+    own.refilled_at = now;
     if (own.tokens >= 1) {
         own.tokens -= 1;
         return true;
     }
-    retry_after = bounded_retry((1 - own.tokens) / rate_per_ms);
+    retry_after = clamp_retry_after((1 - own.tokens) / rate_per_ms);
     return false;
 }
 
@@ -229,23 +231,23 @@
 admission::next_organisation(const pool& target,
                              const organisation_queues& queues) const {
     std::string best;
-    double least = 0;
+    double min_usage = 0;
     for (const auto& [name, queue] : queues) {
         const auto running = target.running_by_organisation.find(name);
-        const double used = running == target.running_by_organisation.end()
-                                ? 0
-                                : running->second;
-        const double relative = used / weight_of(name);
-        if (best.empty() || relative < least) {
+        const double running_count =
+            running == target.running_by_organisation.end() ? 0
+                                                            : running->second;
+        const double relative_usage = running_count / weight_of(name);
+        if (best.empty() || relative_usage < min_usage) {
             best = name;
-            least = relative;
+            min_usage = relative_usage;
         }
     }
     return best;
 }
 
-milliseconds admission::expected_service(const pool& target,
-                                         const admission_ticket& ticket) {
+milliseconds admission::expected_service_time(const pool& target,
+                                              const admission_ticket& ticket) {
     const auto found = target.service_ms_by_class.find(ticket.request_class);
     if (found == target.service_ms_by_class.end())
         return milliseconds{0};
@@ -253,7 +255,7 @@
 }
 
 void admission::start(pool& target, request_id request, instant now) {
-    place& started = places_.at(request);
+    request_record& started = requests_.at(request);
     started.running = true;
     started.started_at = now;
     ++target.running;
--- a/src/requests/attempt_scheduler.cpp
+++ b/src/requests/attempt_scheduler.cpp
@@ -33,7 +33,7 @@
     };
     return std::any_of(running_.begin(), running_.end(), needs) ||
            std::any_of(queue_.begin(), queue_.end(),
-                       [&](const auto& place) { return needs(place.second); });
+                       [&](const auto& item) { return needs(item.second); });
 }
 
 nlohmann::json attempt_scheduler::dump() const {
@@ -42,18 +42,18 @@
     for (const attempt_id& attempt : running_)
         state["running"].push_back(to_string(attempt));
     state["queued"] = nlohmann::json::array();
-    for (const auto& [place, attempt] : queue_)
+    for (const auto& [position, attempt] : queue_)
         state["queued"].push_back(to_string(attempt));
     state["entries"] = nlohmann::json::object();
     for (const auto& [name, record] : entries_)
         state["entries"][name] = {{"incarnation", record.entry.incarnation},
                                   {"epoch", record.epoch}};
-    state["service"] = served_.name;
-    state["versions"] = served_.versions;
-    state["in_force"] = served_.in_force;
+    state["service"] = service_.name;
+    state["versions"] = service_.versions;
+    state["in_force"] = service_.in_force;
     state["leaving"] = leaving_;
     state["remembered"] = attempts_.size();
-    state["kept_bytes"] = kept_bytes_;
+    state["kept_bytes"] = retained_bytes_;
     state["started_total"] = started_total_;
     state["refused_total"] = refused_total_;
     return state;
@@ -62,16 +62,16 @@
 // ---- What may be served ----------------------------------------------------
 
 attempt_scheduler::actions
-attempt_scheduler::set_service(scheduled_service served, instant now) {
-    served_ = std::move(served);
+attempt_scheduler::set_service(scheduled_service service, instant now) {
+    service_ = std::move(service);
     actions out;
-    std::vector<std::pair<attempt_id, refusal>> gone;
-    for (const auto& [place, attempt] : queue_) {
+    std::vector<std::pair<attempt_id, refusal>> refused;
+    for (const auto& [position, attempt] : queue_) {
         const auto reason = find_service_refusal(attempts_.at(attempt).order);
         if (reason)
-            gone.emplace_back(attempt, *reason);
+            refused.emplace_back(attempt, *reason);
     }
-    for (const auto& [attempt, reason] : gone)
+    for (const auto& [attempt, reason] : refused)
         seal_queued(attempt, reason, now, out);
     return out;
 }
@@ -97,15 +97,16 @@
         refuse(order, *reason, now, out);
         return out;
     }
-    record_entry(entry, epoch);
+    update_entry(entry, epoch);
     attempt_record record;
     record.state = phase::queued;
     record.order = order;
     record.epoch = epoch;
     record.deadline = now + milliseconds{order.deadline_ms};
-    record.answer_kept = order.non_idempotent;
+    record.is_answer_retained = order.non_idempotent;
     attempts_.emplace(order.attempt, std::move(record));
-    queue_.emplace(queue_place{order.priority, ++arrivals_}, order.attempt);
+    queue_.emplace(queue_position{order.priority, ++arrival_count_},
+                   order.attempt);
     start_queued(now, out);
     return out;
 }
@@ -114,7 +115,7 @@
 attempt_scheduler::on_seal_order(const process_id& entry,
                                  const seal_order& order, instant now) {
     actions out;
-    record_entry(entry, 0);
+    update_entry(entry, 0);
     const auto known = attempts_.find(order.attempt);
     if (known == attempts_.end()) {
         run_order unknown;
@@ -159,7 +160,7 @@
 attempt_scheduler::on_link_up(const process_id& entry, std::uint64_t epoch,
                               instant now) {
     link_result result;
-    const entry_record& latest = record_entry(entry, epoch);
+    const entry_record& latest = update_entry(entry, epoch);
     if (latest.entry != entry || latest.epoch != epoch)
         return result;
     std::vector<attempt_id> queued;
@@ -177,15 +178,16 @@
         if (record.state == phase::running || record.state == phase::ended)
             result.started.push_back(attempt);
         if (record.order.non_idempotent)
-            replay(attempt, record, result.effects);
+            resend_answer(attempt, record, result.actions_after_hello);
     }
     for (const attempt_id& attempt : queued)
-        seal_queued(attempt, refusal::stale_epoch, now, result.effects);
+        seal_queued(attempt, refusal::stale_epoch, now,
+                    result.actions_after_hello);
     for (const attempt_id& attempt : cancelled) {
-        result.effects.push_back(cancel_attempt{attempt});
+        result.actions_after_hello.push_back(cancel_attempt{attempt});
         finish(attempt, attempts_.at(attempt), now);
     }
-    start_queued(now, result.effects);
+    start_queued(now, result.actions_after_hello);
     return result;
 }
 
@@ -211,16 +213,17 @@
     if (record == nullptr)
         return out;
     const bool wrong_version =
-        served_.engine && version != record->order.version;
-    if (wrong_version || record->begun) {
+        service_.engine && version != record->order.version;
+    if (wrong_version || record->has_begun) {
         out.push_back(cancel_attempt{attempt});
         fail_running(attempt, *record,
                      wrong_version ? "version differs" : "answer began twice",
                      now, out);
         return out;
     }
-    record->begun = true;
-    emit(*record, answer_begin{attempt, status, content_type, version}, out);
+    record->has_begun = true;
+    send_frame(*record, answer_begin{attempt, status, content_type, version},
+               out);
     return out;
 }
 
@@ -231,12 +234,14 @@
     attempt_record* record = find_running(attempt);
     if (record == nullptr)
         return out;
-    if (!record->begun) {
+    if (!record->has_begun) {
         out.push_back(cancel_attempt{attempt});
         fail_running(attempt, *record, "part before begin", now, out);
         return out;
     }
-    emit(*record, answer_part{attempt, record->parts++, std::move(data)}, out);
+    send_frame(*record,
+               answer_part{attempt, record->part_count++, std::move(data)},
+               out);
     return out;
 }
 
@@ -246,11 +251,11 @@
     attempt_record* record = find_running(attempt);
     if (record == nullptr)
         return out;
-    if (!record->begun) {
+    if (!record->has_begun) {
         fail_running(attempt, *record, "end before begin", now, out);
         return out;
     }
-    emit(*record, answer_end{attempt, record->parts}, out);
+    send_frame(*record, answer_end{attempt, record->part_count}, out);
     finish(attempt, *record, now);
     start_queued(now, out);
     return out;
@@ -270,7 +275,7 @@
     running_.erase(attempt);
     record->state = phase::sealed;
     drop_answer(*record);
-    forget_later(attempt, *record, now);
+    schedule_pruning(attempt, *record, now);
     ++refused_total_;
     out.push_back(send_to_entry{
         attempt.entry, run_refused{attempt, refusal::back_end_unreachable, 0}});
@@ -283,9 +288,9 @@
 attempt_scheduler::actions attempt_scheduler::tick(instant now) {
     actions out;
     expire_queued(now, out);
-    stop_overdue(now, out);
+    cancel_overdue(now, out);
     start_queued(now, out);
-    forget_old(now);
+    prune_history(now);
     return out;
 }
 
--- a/src/requests/attempt_scheduler_details.cpp
+++ b/src/requests/attempt_scheduler_details.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// Time after its deadline for which a finished attempt is remembered.
-constexpr milliseconds history_slack{10'000};
+constexpr milliseconds history_retention{10'000};
 
 /// Attempts remembered at once; beyond it new ones are refused.
 constexpr std::size_t max_history = 50'000;
 
 /// Bytes of kept answers of all non-idempotent attempts together.
-constexpr std::size_t max_kept_bytes = 32 * 1024 * 1024;
+constexpr std::size_t max_retained_bytes = 32 * 1024 * 1024;
 
 /// Time a caller waits after a full queue before it comes back.
 constexpr milliseconds overload_retry_after{250};
@@ -42,7 +42,8 @@
         if (std::pair(entry.incarnation, epoch) <
             std::pair(latest.entry.incarnation, latest.epoch))
             return refusal::stale_epoch;
-        if (latest.entry == entry && order.attempt.sequence <= latest.forgotten)
+        if (latest.entry == entry &&
+            order.attempt.sequence <= latest.pruned_up_to)
             return refusal::sealed;
     }
     if (order.attempt.entry != entry)
@@ -62,9 +63,9 @@
 
 std::optional<refusal>
 attempt_scheduler::find_service_refusal(const run_order& order) const {
-    if (!served_.in_force || order.service != served_.name)
+    if (!service_.in_force || order.service != service_.name)
         return refusal::not_in_force;
-    if (served_.engine && !contains(served_.versions, order.version))
+    if (service_.engine && !contains(service_.versions, order.version))
         return refusal::version_not_held;
     return std::nullopt;
 }
@@ -78,7 +79,7 @@
 }
 
 attempt_scheduler::entry_record&
-attempt_scheduler::record_entry(const process_id& entry, std::uint64_t epoch) {
+attempt_scheduler::update_entry(const process_id& entry, std::uint64_t epoch) {
     entry_record& record = entries_[entry.name];
     if (entry.incarnation > record.entry.incarnation)
         record = entry_record{entry, epoch, 0};
@@ -103,7 +104,7 @@
     record.deadline = now + milliseconds{order.deadline_ms};
     const auto inserted =
         attempts_.emplace(order.attempt, std::move(record)).first;
-    forget_later(order.attempt, inserted->second, now);
+    schedule_pruning(order.attempt, inserted->second, now);
 }
 
 void attempt_scheduler::seal_queued(const attempt_id& attempt, refusal reason,
@@ -113,22 +114,21 @@
     record.state = phase::sealed;
     record.order.body.clear();
     ++refused_total_;
-    forget_later(attempt, record, now);
+    schedule_pruning(attempt, record, now);
     out.push_back(
         send_to_entry{attempt.entry, run_refused{attempt, reason, 0}});
 }
 
-void attempt_scheduler::forget_later(const attempt_id& attempt,
-                                     attempt_record& record, instant now) {
-    record.forget_at = std::max(now, record.deadline) + history_slack;
-    forget_.emplace(record.forget_at, attempt);
+void attempt_scheduler::schedule_pruning(const attempt_id& attempt,
+                                         attempt_record& record, instant now) {
+    record.prune_at = std::max(now, record.deadline) + history_retention;
+    pruning_schedule_.emplace(record.prune_at, attempt);
 }
 
 void attempt_scheduler::remove_from_queue(const attempt_id& attempt) {
     const auto found =
-        std::find_if(queue_.begin(), queue_.end(), [&](const auto& place) {
-            return place.second == attempt;
-        });
+        std::find_if(queue_.begin(), queue_.end(),
+                     [&](const auto& item) { return item.second == attempt; });
     if (found != queue_.end())
         queue_.erase(found);
 }
@@ -137,43 +137,43 @@
                                attempt_record& record, instant now) {
     running_.erase(attempt);
     record.state = phase::ended;
-    forget_later(attempt, record, now);
+    schedule_pruning(attempt, record, now);
 }
 
 void attempt_scheduler::fail_running(const attempt_id& attempt,
                                      attempt_record& record,
                                      const std::string& detail, instant now,
                                      actions& out) {
-    emit(record, run_failed{attempt, detail}, out);
+    send_frame(record, run_failed{attempt, detail}, out);
     finish(attempt, record, now);
     start_queued(now, out);
 }
 
-void attempt_scheduler::emit(attempt_record& record, message frame,
-                             actions& out) {
-    keep_frame(record, frame);
+void attempt_scheduler::send_frame(attempt_record& record, message frame,
+                                   actions& out) {
+    retain_frame(record, frame);
     out.push_back(send_to_entry{record.order.attempt.entry, std::move(frame)});
 }
 
-void attempt_scheduler::keep_frame(attempt_record& record,
-                                   const message& frame) {
-    if (!record.answer_kept)
+void attempt_scheduler::retain_frame(attempt_record& record,
+                                     const message& frame) {
+    if (!record.is_answer_retained)
         return;
     const std::size_t bytes = frame_bytes(frame);
-    if (kept_bytes_ + bytes > max_kept_bytes) {
+    if (retained_bytes_ + bytes > max_retained_bytes) {
         drop_answer(record);
         return;
     }
     record.answer.push_back(frame);
     record.answer_bytes += bytes;
-    kept_bytes_ += bytes;
+    retained_bytes_ += bytes;
 }
 
 void attempt_scheduler::drop_answer(attempt_record& record) {
-    kept_bytes_ -= record.answer_bytes;
+    retained_bytes_ -= record.answer_bytes;
     record.answer_bytes = 0;
     record.answer.clear();
-    record.answer_kept = false;
+    record.is_answer_retained = false;
 }
 
 void attempt_scheduler::start_queued(instant now, actions& out) {
@@ -188,16 +188,16 @@
         record.state = phase::running;
         running_.insert(attempt);
         ++started_total_;
-        const auto left =
+        const auto time_left =
             std::chrono::duration_cast<milliseconds>(record.deadline - now);
-        out.push_back(start_attempt{record.order, left});
+        out.push_back(start_attempt{record.order, time_left});
         record.order.body.clear();
     }
 }
 
 void attempt_scheduler::expire_queued(instant now, actions& out) {
     std::vector<attempt_id> expired;
-    for (const auto& [place, attempt] : queue_) {
+    for (const auto& [position, attempt] : queue_) {
         if (attempts_.at(attempt).deadline <= now)
             expired.push_back(attempt);
     }
@@ -205,7 +205,7 @@
         seal_queued(attempt, refusal::expired, now, out);
 }
 
-void attempt_scheduler::stop_overdue(instant now, actions& out) {
+void attempt_scheduler::cancel_overdue(instant now, actions& out) {
     std::vector<attempt_id> overdue;
     for (const attempt_id& attempt : running_) {
         const attempt_record& record = attempts_.at(attempt);
@@ -219,28 +219,29 @@
     }
 }
 
-void attempt_scheduler::forget_old(instant now) {
-    while (!forget_.empty() && forget_.begin()->first <= now) {
-        const attempt_id attempt = forget_.begin()->second;
-        forget_.erase(forget_.begin());
+void attempt_scheduler::prune_history(instant now) {
+    while (!pruning_schedule_.empty() &&
+           pruning_schedule_.begin()->first <= now) {
+        const attempt_id attempt = pruning_schedule_.begin()->second;
+        pruning_schedule_.erase(pruning_schedule_.begin());
         const auto found = attempts_.find(attempt);
         if (found == attempts_.end())
             continue;
         const auto entry = entries_.find(attempt.entry.name);
         if (entry != entries_.end() && entry->second.entry == attempt.entry)
-            entry->second.forgotten =
-                std::max(entry->second.forgotten, attempt.sequence);
+            entry->second.pruned_up_to =
+                std::max(entry->second.pruned_up_to, attempt.sequence);
         drop_answer(found->second);
         attempts_.erase(found);
     }
 }
 
-void attempt_scheduler::replay(const attempt_id& attempt,
-                               const attempt_record& record,
-                               actions& out) const {
+void attempt_scheduler::resend_answer(const attempt_id& attempt,
+                                      const attempt_record& record,
+                                      actions& out) const {
     if (record.state != phase::running && record.state != phase::ended)
         return;
-    if (!record.answer_kept) {
+    if (!record.is_answer_retained) {
         out.push_back(send_to_entry{
             attempt.entry, run_failed{attempt, "answer was not kept"}});
         return;
--- a/src/requests/attempt_service.cpp
+++ b/src/requests/attempt_service.cpp
@@ -19,26 +19,26 @@
       scheduler_(links_.self(), configuration),
       back_end_(core, configuration.backend_server.url,
                 [this](const attempt_id& attempt, back_end_event event) {
-                    on_back_end(attempt, std::move(event));
+                    on_back_end_event(attempt, std::move(event));
                 }) {}
 
 void attempt_service::start() {
     links_.set_started_source([this](const link_peer& peer) {
         auto result =
             scheduler_.on_link_up(peer.process, peer.epoch, steady::now());
-        after_greeting_[static_cast<std::uint64_t>(peer.connection)] =
-            std::move(result.effects);
+        actions_after_hello_[static_cast<std::uint64_t>(peer.connection)] =
+            std::move(result.actions_after_hello);
         return std::move(result.started);
     });
     links_.on_up([this](const link_peer& peer, const hello_reply&) {
         if (peer.outgoing || peer.role != process_role::entry)
             return;
         entries_[peer.process] = peer.connection;
-        const auto found =
-            after_greeting_.find(static_cast<std::uint64_t>(peer.connection));
-        attempt_scheduler::actions effects = std::move(found->second);
-        after_greeting_.erase(found);
-        perform(std::move(effects));
+        const auto found = actions_after_hello_.find(
+            static_cast<std::uint64_t>(peer.connection));
+        attempt_scheduler::actions actions = std::move(found->second);
+        actions_after_hello_.erase(found);
+        perform(std::move(actions));
         links_.reply(peer.connection, make_report());
     });
     links_.on_down([this](const link_peer& peer, const std::string&) {
@@ -88,9 +88,9 @@
     return state;
 }
 
-void attempt_service::set_service(scheduled_service served) {
-    served_ = served;
-    perform(scheduler_.set_service(std::move(served), steady::now()));
+void attempt_service::set_service(scheduled_service service) {
+    service_ = service;
+    perform(scheduler_.set_service(std::move(service), steady::now()));
 }
 
 void attempt_service::set_load(back_end_load load) {
@@ -102,8 +102,8 @@
     report_load();
 }
 
-void attempt_service::on_back_end(const attempt_id& attempt,
-                                  back_end_event event) {
+void attempt_service::on_back_end_event(const attempt_id& attempt,
+                                        back_end_event event) {
     const instant now = steady::now();
     std::visit(
         impl::overloaded{
@@ -125,12 +125,12 @@
 }
 
 void attempt_service::perform(attempt_scheduler::actions actions) {
-    for (scheduler_action& each : actions) {
+    for (scheduler_action& action : actions) {
         std::visit(
             impl::overloaded{
                 [&](const start_attempt& start) {
-                    if (served_.engine)
-                        prefixes_.note(start.order.version, start.order.body);
+                    if (service_.engine)
+                        prefixes_.record(start.order.version, start.order.body);
                     back_end_.start(start.order, start.deadline);
                 },
                 [&](const cancel_attempt& cancel) {
@@ -138,7 +138,7 @@
                 },
                 [&](const send_to_entry& out) { send(out.entry, out.body); },
             },
-            each);
+            action);
     }
 }
 
@@ -159,14 +159,14 @@
 load_report attempt_service::make_report() const {
     load_report report;
     report.agent = links_.self();
-    report.service = served_.name;
+    report.service = service_.name;
     // The back end's own figures lag; nothing but this scheduler gives it work.
     report.running = scheduler_.running();
     report.queued = scheduler_.queued();
     report.capacity = configuration_.backend_server.capacity;
     report.age_ms = 0;
     report.leaving = scheduler_.is_leaving();
-    report.versions = served_.versions;
+    report.versions = service_.versions;
     report.prefixes = prefixes_.translate(load_.prefixes);
     return report;
 }
--- a/src/requests/back_end.cpp
+++ b/src/requests/back_end.cpp
@@ -58,24 +58,24 @@
 
 /// Returns the address of `http://host:port`; a name is looked up once.
 address resolve(const std::string& url) {
-    const auto named = parse_address(url.substr(scheme.size()));
-    if (!named)
+    const auto parsed = parse_address(url.substr(scheme.size()));
+    if (!parsed)
         return {};
-    addrinfo wanted{};
-    wanted.ai_family = AF_INET;
-    wanted.ai_socktype = SOCK_STREAM;
+    addrinfo hints{};
+    hints.ai_family = AF_INET;
+    hints.ai_socktype = SOCK_STREAM;
     addrinfo* found = nullptr;
     const int status =
-        getaddrinfo(named->host.c_str(), nullptr, &wanted, &found);
+        getaddrinfo(parsed->host.c_str(), nullptr, &hints, &found);
     if (status != 0) {
         log_event(log_level::error, "back_end_name_unknown",
                   {{"url", url}, {"error", gai_strerror(status)}});
-        return *named;
+        return *parsed;
     }
     address result = from_socket_address(
         *reinterpret_cast<const sockaddr_in*>(found->ai_addr));
     freeaddrinfo(found);
-    result.port = named->port;
+    result.port = parsed->port;
     return result;
 }
 
@@ -84,15 +84,16 @@
 back_end::back_end(kernel& core, std::string url, callback receiver)
     : core_(core), url_(std::move(url)), server_(resolve(url_)),
       receiver_(std::move(receiver)), client_(core) {
-    core_.every(service_name, silence_check_interval, [this] { end_silent(); });
+    core_.every(service_name, silence_check_interval,
+                [this] { fail_silent_calls(); });
 }
 
 void back_end::start(const run_order& order, milliseconds deadline) {
     const attempt_id attempt = order.attempt;
     running_call& current = running_[attempt];
-    current.may_refuse = !order.version.empty();
-    current.wants_stream = order.stream;
-    current.last_heard = steady::now();
+    current.refusal_means_not_run = !order.version.empty();
+    current.stream_requested = order.stream;
+    current.last_received = steady::now();
     call_options options;
     options.connect_timeout = connect_timeout;
     options.timeout = deadline;
@@ -117,8 +118,8 @@
 
 void back_end::on_head(const attempt_id& attempt, const http_response& head) {
     running_call& current = running_.at(attempt);
-    current.last_heard = steady::now();
-    if (current.may_refuse && is_refusal(head.status)) {
+    current.last_received = steady::now();
+    if (current.refusal_means_not_run && is_refusal(head.status)) {
         current.refused_status = head.status;
         return;
     }
@@ -131,7 +132,7 @@
 
 void back_end::on_body(const attempt_id& attempt, std::string_view data) {
     running_call& current = running_.at(attempt);
-    current.last_heard = steady::now();
+    current.last_received = steady::now();
     if (current.refused_status != 0)
         return;
     if (!current.is_event_stream) {
@@ -145,7 +146,7 @@
         if (found == running_.end())
             return;
         if (absl::StripTrailingAsciiWhitespace(event.text) == stream_end)
-            found->second.has_stream_end = true;
+            found->second.stream_complete = true;
         else
             receiver_(attempt, back_end_part{event.text});
     }
@@ -154,8 +155,8 @@
 void back_end::on_ended(const attempt_id& attempt, call_end end) {
     const auto found = running_.find(attempt);
     const std::uint16_t refused = found->second.refused_status;
-    const bool is_short =
-        found->second.is_event_stream && !found->second.has_stream_end;
+    const bool is_truncated =
+        found->second.is_event_stream && !found->second.stream_complete;
     running_.erase(found);
     if (end != call_end::complete)
         receiver_(attempt, back_end_failed{end != call_end::not_connected,
@@ -163,7 +164,7 @@
     else if (refused != 0)
         receiver_(attempt, back_end_failed{false, "refused with status " +
                                                       std::to_string(refused)});
-    else if (is_short)
+    else if (is_truncated)
         receiver_(attempt, back_end_failed{true, "stream ended early"});
     else
         receiver_(attempt, back_end_end{});
@@ -181,11 +182,12 @@
                });
 }
 
-void back_end::end_silent() {
+void back_end::fail_silent_calls() {
     const instant now = steady::now();
     std::vector<attempt_id> silent;
     for (const auto& [attempt, current] : running_)
-        if (current.wants_stream && now - current.last_heard > silence_timeout)
+        if (current.stream_requested &&
+            now - current.last_received > silence_timeout)
             silent.push_back(attempt);
     for (const attempt_id& attempt : silent)
         fail(attempt, {true, "silent"});
--- a/src/requests/balancer.cpp
+++ b/src/requests/balancer.cpp
@@ -16,7 +16,7 @@
 constexpr double prefix_bonus = 0.25;
 
 /// Percentages add up to this.
-constexpr std::uint32_t whole_percent = 100;
+constexpr std::uint32_t total_percent = 100;
 
 /// Hexadecimal digits of a digest that make a 32-bit number.
 constexpr std::size_t hash_digits = 8;
@@ -31,15 +31,15 @@
     return two_choice_routing{};
 }
 
-std::uint32_t percent_of(const std::string& text) {
+std::uint32_t hash_percent(const std::string& text) {
     const std::string head = sha256(text).substr(0, hash_digits);
     return static_cast<std::uint32_t>(std::stoul(head, nullptr, hexadecimal) %
-                                      whole_percent);
+                                      total_percent);
 }
 
 } // namespace
 
-double load_weight(milliseconds age) noexcept {
+double report_weight(milliseconds age) noexcept {
     const double half_lives = static_cast<double>(age.count()) /
                               static_cast<double>(load_half_life.count());
     return 1.0 / (1.0 + half_lives);
@@ -48,8 +48,8 @@
 double load_score(const balancer_candidate& candidate) {
     const std::uint32_t others =
         candidate.reported -
-        std::min(candidate.reported, candidate.outstanding_then);
-    const double weight = load_weight(candidate.age);
+        std::min(candidate.reported, candidate.outstanding_at_report);
+    const double weight = report_weight(candidate.age);
     const double load = candidate.outstanding + others * weight;
     const double share = load / std::max<std::uint32_t>(candidate.capacity, 1);
     return candidate.has_prefix ? share - prefix_bonus * weight : share;
@@ -72,26 +72,26 @@
             return state.next++ % candidates.size();
         }
         std::size_t operator()(random_routing&) const {
-            return self.any(candidates.size());
+            return self.random_index(candidates.size());
         }
     };
     return std::visit(visitor{*this, candidates}, routing_);
 }
 
-std::size_t balancer::any(std::size_t count) {
+std::size_t balancer::random_index(std::size_t count) {
     return absl::Uniform<std::size_t>(random_, 0, count);
 }
 
 std::size_t
 balancer::two_choices(const std::vector<balancer_candidate>& candidates) {
     const std::size_t count = candidates.size();
-    std::size_t best = any(count);
+    std::size_t best = random_index(count);
     const auto consider = [&](std::size_t other) {
         if (load_score(candidates[other]) < load_score(candidates[best]))
             best = other;
     };
     if (count > 1) {
-        const std::size_t step = 1 + any(count - 1);
+        const std::size_t step = 1 + random_index(count - 1);
         consider((best + step) % count);
     }
     for (std::size_t index = 0; index < count; ++index) {
@@ -108,19 +108,19 @@
     if (agents.size() <= size)
         return agents;
     std::sort(entries.begin(), entries.end());
-    const auto place = std::find(entries.begin(), entries.end(), self);
-    if (place == entries.end()) {
+    const auto position = std::find(entries.begin(), entries.end(), self);
+    if (position == entries.end()) {
         std::vector<std::string> chosen = rendezvous_order(self, agents);
         chosen.resize(size);
         return chosen;
     }
     const std::vector<std::string> order = rendezvous_order("agents", agents);
-    const auto index = static_cast<std::size_t>(place - entries.begin());
+    const auto index = static_cast<std::size_t>(position - entries.begin());
     const std::size_t first = index * order.size() / entries.size();
-    const std::size_t covering =
+    const std::size_t min_size =
         (order.size() + entries.size() - 1) / entries.size();
     std::vector<std::string> chosen;
-    for (std::size_t step = 0; step < std::max(size, covering); ++step)
+    for (std::size_t step = 0; step < std::max(size, min_size); ++step)
         chosen.push_back(order[(first + step) % order.size()]);
     return chosen;
 }
@@ -153,12 +153,12 @@
                   return left.second->name < right.second->name;
               });
     const std::uint32_t drawn =
-        percent_of(organisation + "\n" + std::to_string(request));
-    std::uint32_t passed = 0;
+        hash_percent(organisation + "\n" + std::to_string(request));
+    std::uint32_t cumulative = 0;
     std::size_t chosen = 0;
     for (std::size_t index = 0; index < shares.size(); ++index) {
-        passed += shares[index].first;
-        if (drawn < passed) {
+        cumulative += shares[index].first;
+        if (drawn < cumulative) {
             chosen = index;
             break;
         }
--- a/src/requests/broker_dispatch.cpp
+++ b/src/requests/broker_dispatch.cpp
@@ -160,7 +160,7 @@
         if (agent.reported) {
             const auto& prefixes = agent.load.prefixes;
             candidate.reported = agent.load.running + agent.load.queued;
-            candidate.outstanding_then = agent.outstanding_then;
+            candidate.outstanding_at_report = agent.outstanding_then;
             candidate.capacity = agent.load.capacity;
             candidate.age = age_of(agent, now);
             candidate.has_prefix =
@@ -189,7 +189,7 @@
         const std::uint32_t others =
             reported - std::min(reported, agent.outstanding_then);
         const auto fresh = static_cast<std::uint32_t>(
-            others * load_weight(age_of(agent, now)));
+            others * report_weight(age_of(agent, now)));
         const std::uint32_t wanted = capacity + capacity / 4;
         const std::uint32_t left = wanted - std::min(wanted, fresh);
         slots += std::max({left, capacity / entries, 1U});
--- a/src/requests/broker_state.cpp
+++ b/src/requests/broker_state.cpp
@@ -143,7 +143,7 @@
     const admission_ticket ticket{request,        state.incoming.organisation,
                                   target->name,   state.incoming.request_class,
                                   state.priority, state.deadline};
-    const admission_decision decision = admission_.offer(ticket, now);
+    const admission_decision decision = admission_.admit(ticket, now);
     if (const auto* refused = std::get_if<admission_refused>(&decision))
         return refuse(request, untried, refused->reason, refused->retry_after,
                       now);
@@ -163,7 +163,7 @@
 void broker_state::admit_waiting(instant now) {
     for (const auto& [name, names] : subsets_)
         admission_.set_slots(name, slots_of(name, now));
-    for (const request_id id : admission_.take_hopeless(now))
+    for (const request_id id : admission_.take_unservable(now))
         give_up(id, "overloaded", now);
     for (const request_id id : admission_.take_startable(now))
         enter(id, now);
--- a/src/requests/caller_api.cpp
+++ b/src/requests/caller_api.cpp
@@ -16,7 +16,7 @@
 constexpr const char* service_name = "callers";
 /// A caller that has read nothing for this long is taken for gone; a usual
 /// bound for writes to a network peer.
-constexpr seconds longest_unread{5};
+constexpr seconds max_unread_time{5};
 constexpr milliseconds unread_check_interval{250};
 constexpr const char* default_organisation = "default";
 constexpr const char* stream_end = "data: [DONE]\n\n";
@@ -43,10 +43,11 @@
 }
 
 http_response refusal_response(const refuse_action& refusal) {
-    const auto whole = std::chrono::ceil<seconds>(refusal.retry_after);
+    const auto retry_seconds = std::chrono::ceil<seconds>(refusal.retry_after);
     http_response response =
         json_response(refusal_status(refusal), refusal_body(refusal));
-    response.fields.push_back({"Retry-After", std::to_string(whole.count())});
+    response.fields.push_back(
+        {"Retry-After", std::to_string(retry_seconds.count())});
     response.fields.push_back({"X-Outcome", to_string(refusal.result)});
     return response;
 }
@@ -108,29 +109,31 @@
 // ---- Routes ----------------------------------------------------------------
 
 caller_api::caller_api(kernel& core, const settings& configuration,
-                       api_server& server, metrics& measures,
-                       dependencies needs)
+                       api_server& server, metrics& registry,
+                       dependencies callbacks)
     : core_(core), configuration_(configuration), server_(server),
-      measures_(measures), needs_(std::move(needs)) {
+      metrics_(registry), dependencies_(std::move(callbacks)) {
     add_routes();
     server_.on_refused(unreadable_response);
-    server_.on_caller([this](exchange_id exchange) { on_abandoned(exchange); },
-                      [this](exchange_id exchange) {
-                          const auto found = by_exchange_.find(
-                              static_cast<std::uint64_t>(exchange));
-                          if (found != by_exchange_.end())
-                              open_.at(found->second).unread_since.reset();
-                      });
+    server_.on_caller(
+        [this](exchange_id exchange) { on_caller_disconnected(exchange); },
+        [this](exchange_id exchange) {
+            const auto found =
+                by_exchange_.find(static_cast<std::uint64_t>(exchange));
+            if (found != by_exchange_.end())
+                open_.at(found->second).unread_since.reset();
+        });
     server_limits limits;
     limits.max_body_bytes = configuration.requests.max_body_bytes;
     server_.web().set_limits(limits);
-    core_.every(service_name, unread_check_interval, [this] { end_unread(); });
+    core_.every(service_name, unread_check_interval,
+                [this] { abort_unread(); });
 }
 
 void caller_api::add_routes() {
     server_.route_plain("GET", "/v1/entries", [this](const api_request&) {
         return json_response(
-            200, {{"entries", needs_.entries()},
+            200, {{"entries", dependencies_.entries()},
                   {"ttl_ms", configuration_.cluster.entry_answer_ttl.count()}});
     });
     server_.route("POST", "/v1/chat/completions",
@@ -167,19 +170,19 @@
 }
 
 void caller_api::serve(exchange_id exchange, incoming_request incoming) {
-    measures_.count("ospreystage_requests_total");
+    metrics_.count("ospreystage_requests_total");
     const request_id id = next_id_++;
-    if (has_ended_) {
+    if (is_stopped_) {
         server_.web().respond(
             exchange, refusal_response({id, outcome::not_run, "leaving", {}}));
         return;
     }
     open_request& request = open_[id];
     request.exchange = exchange;
-    request.arrived = steady::now();
-    request.wants_stream = incoming.stream;
+    request.arrived_at = steady::now();
+    request.stream_requested = incoming.stream;
     by_exchange_.emplace(static_cast<std::uint64_t>(exchange), id);
-    needs_.begin(id, std::move(incoming));
+    dependencies_.begin(id, std::move(incoming));
 }
 
 // ---- Answers ---------------------------------------------------------------
@@ -193,35 +196,36 @@
     if (found == open_.end())
         return;
     open_request& request = found->second;
-    std::visit(
-        impl::overloaded{
-            [&](const answer_begin_action& begin) {
-                begin_answer(request, begin);
-            },
-            [&](const answer_part_action& part) { take_part(request, part); },
-            [&](const answer_end_action&) { end_answer(id); },
-            [&](const refuse_action& refusal) { refuse(id, refusal); },
-        },
-        event);
+    std::visit(impl::overloaded{
+                   [&](const answer_begin_action& begin) {
+                       begin_answer(request, begin);
+                   },
+                   [&](const answer_part_action& part) {
+                       deliver_part(request, part);
+                   },
+                   [&](const answer_end_action&) { end_answer(id); },
+                   [&](const refuse_action& refusal) { refuse(id, refusal); },
+               },
+               event);
 }
 
 void caller_api::begin_answer(open_request& request,
                               const answer_begin_action& begin) {
-    measures_.observe("ospreystage_first_event_seconds",
-                      steady::now() - request.arrived);
-    request.is_begun = true;
+    metrics_.observe("ospreystage_first_event_seconds",
+                     steady::now() - request.arrived_at);
+    request.has_begun = true;
     request.is_event_stream = is_event_stream(begin.content_type);
     request.answer.status = begin.status;
     request.answer.fields.push_back({"Content-Type", begin.content_type});
     if (!begin.version.empty())
         request.answer.fields.push_back({"X-Model-Version", begin.version});
-    if (request.wants_stream)
+    if (request.stream_requested)
         server_.web().begin(request.exchange, request.answer);
 }
 
-void caller_api::take_part(open_request& request,
-                           const answer_part_action& part) {
-    if (!request.wants_stream) {
+void caller_api::deliver_part(open_request& request,
+                              const answer_part_action& part) {
+    if (!request.stream_requested) {
         request.answer.body += part.data;
         return;
     }
@@ -233,7 +237,7 @@
 void caller_api::end_answer(request_id id) {
     const open_request& request = open_.at(id);
     web_server& web = server_.web();
-    if (!request.wants_stream) {
+    if (!request.stream_requested) {
         web.respond(request.exchange, request.answer);
     } else {
         if (request.is_event_stream)
@@ -246,9 +250,9 @@
 void caller_api::refuse(request_id id, const refuse_action& refusal) {
     const open_request& request = open_.at(id);
     web_server& web = server_.web();
-    if (!request.is_begun)
-        measures_.count("ospreystage_refused_total");
-    if (!request.is_begun || !request.wants_stream) {
+    if (!request.has_begun)
+        metrics_.count("ospreystage_refused_total");
+    if (!request.has_begun || !request.stream_requested) {
         web.respond(request.exchange, refusal_response(refusal));
     } else if (request.is_event_stream) {
         web.write(request.exchange,
@@ -261,7 +265,7 @@
 }
 
 void caller_api::abandon_all() {
-    has_ended_ = true;
+    is_stopped_ = true;
     std::vector<request_id> ids;
     for (const auto& [id, request] : open_)
         ids.push_back(id);
@@ -275,29 +279,29 @@
     open_.erase(found);
 }
 
-void caller_api::on_abandoned(exchange_id exchange) {
+void caller_api::on_caller_disconnected(exchange_id exchange) {
     const auto found = by_exchange_.find(static_cast<std::uint64_t>(exchange));
     if (found == by_exchange_.end())
         return;
     const request_id id = found->second;
     close(id);
     // Posted, since the broker may still be carrying out its actions.
-    core_.post(service_name, [this, id] { needs_.cancel(id); });
+    core_.post(service_name, [this, id] { dependencies_.cancel(id); });
 }
 
-void caller_api::end_unread() {
+void caller_api::abort_unread() {
     const instant now = steady::now();
-    std::vector<request_id> late;
+    std::vector<request_id> expired;
     for (const auto& [id, request] : open_)
         if (request.unread_since &&
-            now - *request.unread_since > longest_unread)
-            late.push_back(id);
-    for (const request_id id : late) {
+            now - *request.unread_since > max_unread_time)
+            expired.push_back(id);
+    for (const request_id id : expired) {
         const exchange_id exchange = open_.at(id).exchange;
         log_event(log_level::info, "caller_does_not_read",
-                  {{"request", id}, {"waited_s", longest_unread.count()}});
+                  {{"request", id}, {"waited_s", max_unread_time.count()}});
         server_.web().abort(exchange);
-        on_abandoned(exchange);
+        on_caller_disconnected(exchange);
     }
 }
 
--- a/src/requests/chunk_assignment.cpp
+++ b/src/requests/chunk_assignment.cpp
@@ -24,36 +24,35 @@
 
 } // namespace
 
-chunk_assignment::chunk_assignment(const distribution_strategy& strategy,
-                                   std::vector<swarm_member> members,
-                                   const std::string& self,
-                                   const digest& version, std::uint32_t chunks,
-                                   const std::vector<std::string>& silent)
+chunk_assignment::chunk_assignment(
+    const distribution_strategy& strategy, std::vector<swarm_member> members,
+    const std::string& self, const digest& version, std::uint32_t chunks,
+    const std::vector<std::string>& silent_readers)
     : version_hash_(stable_hash(version)), roles_(chunks) {
     std::sort(members.begin(), members.end(),
               [](const swarm_member& left, const swarm_member& right) {
                   return left.name < right.name;
               });
-    absl::flat_hash_map<std::string, std::uint32_t> centres;
-    for (swarm_member& entry : members) {
-        const auto next = static_cast<std::uint32_t>(centres.size());
+    absl::flat_hash_map<std::string, std::uint32_t> centre_indices;
+    for (swarm_member& member : members) {
+        const auto next = static_cast<std::uint32_t>(centre_indices.size());
         const std::uint32_t centre =
-            centres.emplace(entry.data_centre, next).first->second;
-        const std::uint64_t hash = stable_hash(entry.name);
-        members_.push_back({std::move(entry.name), centre, hash});
+            centre_indices.emplace(member.data_centre, next).first->second;
+        const std::uint64_t hash = stable_hash(member.name);
+        members_.push_back({std::move(member.name), centre, hash});
     }
-    data_centres_ = static_cast<std::uint32_t>(centres.size());
+    data_centre_count_ = static_cast<std::uint32_t>(centre_indices.size());
     self_ = position_of(self);
     if (self_ == members_.size())
         return;
-    choose_readers(silent);
-    std::visit([this](const auto& chosen) { place(chosen); }, strategy);
+    choose_readers(silent_readers);
+    std::visit([this](const auto& chosen) { assign_roles(chosen); }, strategy);
 }
 
 std::vector<std::string>
 chunk_assignment::remote_owners(std::uint32_t index) const {
-    std::vector<std::size_t> best(data_centres_, members_.size());
-    if (restricted_ || self_ == members_.size())
+    std::vector<std::size_t> best(data_centre_count_, members_.size());
+    if (has_fixed_sources_ || self_ == members_.size())
         return {};
     for (std::size_t member = 0; member < members_.size(); ++member) {
         std::size_t& chosen = best[members_[member].data_centre];
@@ -75,13 +74,13 @@
            members_[position].data_centre == members_[self_].data_centre;
 }
 
-bool chunk_assignment::may_ask(const std::string& peer) const {
-    if (restricted_)
+bool chunk_assignment::may_fetch_from(const std::string& peer) const {
+    if (has_fixed_sources_)
         return contains(sources_, peer);
     return position_of(peer) != members_.size();
 }
 
-void chunk_assignment::place(const rendezvous_strategy& strategy) {
+void chunk_assignment::assign_roles(const rendezvous_strategy& strategy) {
     choose_neighbours();
     for (std::uint32_t index = 0; index < roles_.size(); ++index)
         roles_[index] = role_of(index);
@@ -89,16 +88,16 @@
     target_readers_ = strategy.readers;
 }
 
-void chunk_assignment::place(const direct_strategy& /*strategy*/) {
-    restricted_ = true;
+void chunk_assignment::assign_roles(const direct_strategy& /*strategy*/) {
+    has_fixed_sources_ = true;
     readers_.clear();
     is_reader_ = true;
     for (chunk_role& role : roles_)
         role.origin_rank = 0;
 }
 
-void chunk_assignment::place(const tree_strategy& strategy) {
-    restricted_ = true;
+void chunk_assignment::assign_roles(const tree_strategy& strategy) {
+    has_fixed_sources_ = true;
     readers_.clear();
     is_reader_ = self_ == 0;
     for (chunk_role& role : roles_) {
@@ -115,10 +114,12 @@
             neighbours_.push_back(members_[child].name);
 }
 
-void chunk_assignment::choose_readers(const std::vector<std::string>& silent) {
+void chunk_assignment::choose_readers(
+    const std::vector<std::string>& silent_readers) {
     const std::size_t share =
-        (target_readers_ + data_centres_ - 1) / data_centres_;
-    const std::size_t wanted = std::max(min_readers_per_data_centre, share);
+        (target_readers_ + data_centre_count_ - 1) / data_centre_count_;
+    const std::size_t target_count =
+        std::max(min_readers_per_data_centre, share);
     std::vector<std::size_t> order(members_.size());
     for (std::size_t member = 0; member < order.size(); ++member)
         order[member] = member;
@@ -126,17 +127,17 @@
         return mix_hash(version_hash_, members_[a].hash) >
                mix_hash(version_hash_, members_[b].hash);
     });
-    std::vector<std::size_t> chosen(data_centres_, 0);
-    std::vector<std::size_t> known(data_centres_, 0);
+    std::vector<std::size_t> chosen(data_centre_count_, 0);
+    std::vector<std::size_t> listed(data_centre_count_, 0);
     for (const std::size_t member : order) {
         const std::uint32_t centre = members_[member].data_centre;
-        const bool is_silent = contains(silent, members_[member].name);
-        if (known[centre] < wanted * (1 + backups_per_reader)) {
-            ++known[centre];
+        const bool is_silent = contains(silent_readers, members_[member].name);
+        if (listed[centre] < target_count * (1 + backups_per_reader)) {
+            ++listed[centre];
             readers_.push_back(members_[member].name);
             is_reader_ = is_reader_ || member == self_;
         }
-        if (!is_silent && chosen[centre] < wanted) {
+        if (!is_silent && chosen[centre] < target_count) {
             ++chosen[centre];
             active_readers_.push_back(member);
         }
@@ -150,7 +151,7 @@
     };
     std::vector<candidate> local;
     std::vector<candidate> remote;
-    const placed_member& self = members_[self_];
+    const member_record& self = members_[self_];
     for (std::size_t member = 0; member < members_.size(); ++member) {
         if (member == self_)
             continue;
@@ -158,17 +159,18 @@
         const bool is_local = members_[member].data_centre == self.data_centre;
         (is_local ? local : remote).push_back({mix_hash(weight, 0), member});
     }
-    const auto take = [this](std::vector<candidate>& from, std::size_t count) {
+    const auto append_neighbours = [this](std::vector<candidate>& from,
+                                          std::size_t count) {
         std::sort(from.begin(), from.end(),
                   [](const candidate& left, const candidate& right) {
                       return left.weight > right.weight;
                   });
-        for (std::size_t place = 0; place < std::min(count, from.size());
-             ++place)
-            neighbours_.push_back(members_[from[place].member].name);
+        for (std::size_t index = 0; index < std::min(count, from.size());
+             ++index)
+            neighbours_.push_back(members_[from[index].member].name);
     };
-    take(local, local_neighbours);
-    take(remote, remote_neighbours);
+    append_neighbours(local, local_neighbours);
+    append_neighbours(remote, remote_neighbours);
 }
 
 chunk_role chunk_assignment::role_of(std::uint32_t index) const {
@@ -182,11 +184,11 @@
         return role;
     }
     const std::uint32_t centre = members_[self_].data_centre;
-    const std::uint64_t mine = weight(self_, index);
+    const std::uint64_t own_weight = weight(self_, index);
     std::size_t higher = 0;
     for (std::size_t member = 0; member < members_.size(); ++member)
         if (members_[member].data_centre == centre &&
-            weight(member, index) > mine)
+            weight(member, index) > own_weight)
             ++higher;
     // The first reader owns the chunk in its own data centre.
     if (!order.empty() && members_[order.front()].data_centre == centre)
@@ -203,7 +205,7 @@
         return weight(a, index) > weight(b, index);
     });
     // The best reader of every data centre comes before second ones.
-    std::vector<bool> seen(data_centres_, false);
+    std::vector<bool> seen(data_centre_count_, false);
     std::vector<std::size_t> first;
     std::vector<std::size_t> second;
     for (const std::size_t member : order) {
@@ -222,11 +224,11 @@
 
 std::size_t
 chunk_assignment::position_of(const std::string& name) const noexcept {
-    const auto found =
-        std::lower_bound(members_.begin(), members_.end(), name,
-                         [](const placed_member& entry, const std::string& id) {
-                             return entry.name < id;
-                         });
+    const auto found = std::lower_bound(
+        members_.begin(), members_.end(), name,
+        [](const member_record& member, const std::string& id) {
+            return member.name < id;
+        });
     if (found == members_.end() || found->name != name)
         return members_.size();
     return static_cast<std::size_t>(found - members_.begin());
--- a/src/requests/prompt_prefix.cpp
+++ b/src/requests/prompt_prefix.cpp
@@ -7,14 +7,14 @@
 constexpr std::size_t max_prefixes = 4096;
 
 /// Hexadecimal digits of an engine's block hash.
-constexpr std::size_t engine_digits = 16;
+constexpr std::size_t engine_hash_digits = 16;
 
 /// Hexadecimal digits of a hash that make its number.
 constexpr std::size_t number_digits = 15;
 
 constexpr int hexadecimal = 16;
 
-std::uint64_t number_of(const std::string& hash) {
+std::uint64_t to_number(const std::string& hash) {
     return std::stoull(hash.substr(0, number_digits), nullptr, hexadecimal);
 }
 
@@ -41,23 +41,23 @@
 }
 
 std::uint64_t prefix_hash(const std::string& block) {
-    return block.empty() ? 0 : number_of(sha256(block));
+    return block.empty() ? 0 : to_number(sha256(block));
 }
 
 std::uint64_t engine_block_number(const std::string& hash) {
     const bool hexadecimal_only =
         hash.find_first_not_of("0123456789abcdef") == std::string::npos;
     return hash.size() < number_digits || !hexadecimal_only ? 0
-                                                            : number_of(hash);
+                                                            : to_number(hash);
 }
 
 std::uint64_t engine_block_number(const digest& version,
                                   const std::string& block) {
     return engine_block_number(
-        sha256(version + block).substr(0, engine_digits));
+        sha256(version + block).substr(0, engine_hash_digits));
 }
 
-void prefix_map::note(const digest& version, const std::string& body) {
+void prefix_map::record(const digest& version, const std::string& body) {
     const std::string block =
         first_prompt_block(nlohmann::json::parse(body, nullptr, false));
     if (block.empty())
@@ -65,11 +65,11 @@
     const std::uint64_t number = engine_block_number(version, block);
     if (!prefixes_.emplace(number, prefix_hash(block)).second)
         return;
-    order_.push_back(number);
-    if (order_.size() <= max_prefixes)
+    insertion_order_.push_back(number);
+    if (insertion_order_.size() <= max_prefixes)
         return;
-    prefixes_.erase(order_.front());
-    order_.pop_front();
+    prefixes_.erase(insertion_order_.front());
+    insertion_order_.pop_front();
 }
 
 std::vector<std::uint64_t>
--- a/src/weights/swarm_downloads.cpp
+++ b/src/weights/swarm_downloads.cpp
@@ -191,7 +191,7 @@
             peer.proven ? options_.max_requests_per_peer : 1;
         if (!view.held.test(index) || !is_usable(id, now) ||
             peer.outstanding >= limit || (!peer.is_local && !may_leave) ||
-            !version.roles->may_ask(peer.name))
+            !version.roles->may_fetch_from(peer.name))
             continue;
         if (!best || key_of(id) < key_of(*best))
             best = id;
--- a/tests/admission.cpp
+++ b/tests/admission.cpp
@@ -37,10 +37,10 @@
 }
 
 /// Makes the pool's average service time `took`.
-void learn(admission& value, milliseconds took) {
+void set_average_service_time(admission& value, milliseconds took) {
     const admission_ticket sample{
         1'000'000, "sample", "pool", "desk", 0, start + milliseconds{30'000}};
-    REQUIRE(granted(value.offer(sample, start - took)));
+    REQUIRE(granted(value.admit(sample, start - took)));
     value.end(sample.request, true, start);
 }
 
@@ -49,30 +49,30 @@
 TEST_CASE("admission - an organisation over its rate is refused") {
     admission value(100);
     value.set_document(limits(10, 2), start);
-    CHECK(granted(value.offer(ticket(1, "board"), start)));
-    CHECK(granted(value.offer(ticket(2, "board"), start)));
-    const auto refusal = refused(value.offer(ticket(3, "board"), start));
+    CHECK(granted(value.admit(ticket(1, "board"), start)));
+    CHECK(granted(value.admit(ticket(2, "board"), start)));
+    const auto refusal = refused(value.admit(ticket(3, "board"), start));
     CHECK(refusal.reason == "rate_limited");
     CHECK(refusal.retry_after == milliseconds{100});
-    CHECK(granted(value.offer(ticket(4, "tokachi"), start)));
+    CHECK(granted(value.admit(ticket(4, "tokachi"), start)));
     const instant later = start + refusal.retry_after;
-    CHECK(granted(value.offer(ticket(5, "board"), later)));
+    CHECK(granted(value.admit(ticket(5, "board"), later)));
 }
 
 TEST_CASE("admission - a new document does not refill the buckets") {
     admission value(100);
     value.set_document(limits(10, 1), start);
-    CHECK(granted(value.offer(ticket(1, "board"), start)));
+    CHECK(granted(value.admit(ticket(1, "board"), start)));
     value.set_document(limits(10, 1), start);
-    CHECK(refused(value.offer(ticket(2, "board"), start)).reason ==
+    CHECK(refused(value.admit(ticket(2, "board"), start)).reason ==
           "rate_limited");
 }
 
 TEST_CASE("admission - slots bound what is in progress") {
     admission value(100);
     value.set_slots("pool", 1);
-    CHECK(granted(value.offer(ticket(1, "board"), start)));
-    CHECK(queued(value.offer(ticket(2, "board"), start)));
+    CHECK(granted(value.admit(ticket(1, "board"), start)));
+    CHECK(queued(value.admit(ticket(2, "board"), start)));
     CHECK(value.take_startable(start).empty());
     value.end(1, true, start);
     CHECK(value.take_startable(start) == std::vector<request_id>{2});
@@ -83,17 +83,17 @@
 TEST_CASE("admission - more slots start what waits") {
     admission value(100);
     value.set_slots("pool", 1);
-    CHECK(granted(value.offer(ticket(1, "board"), start)));
-    CHECK(queued(value.offer(ticket(2, "board"), start)));
+    CHECK(granted(value.admit(ticket(1, "board"), start)));
+    CHECK(queued(value.admit(ticket(2, "board"), start)));
     value.set_slots("pool", 2);
     CHECK(value.take_startable(start).size() == 1);
 }
 
 TEST_CASE("admission - the total is bounded") {
     admission value(2);
-    CHECK(granted(value.offer(ticket(1, "board"), start)));
-    CHECK(granted(value.offer(ticket(2, "board"), start)));
-    const auto refusal = refused(value.offer(ticket(3, "board"), start));
+    CHECK(granted(value.admit(ticket(1, "board"), start)));
+    CHECK(granted(value.admit(ticket(2, "board"), start)));
+    const auto refusal = refused(value.admit(ticket(3, "board"), start));
     CHECK(refusal.reason == "overloaded");
     CHECK(refusal.retry_after >= milliseconds{50});
 }
@@ -104,8 +104,8 @@
     value.set_slots("pool", 40);
     request_id next = 1;
     for (int index = 0; index < 200; ++index) {
-        static_cast<void>(value.offer(ticket(next++, "tokachi"), start));
-        static_cast<void>(value.offer(ticket(next++, "board"), start));
+        static_cast<void>(value.admit(ticket(next++, "tokachi"), start));
+        static_cast<void>(value.admit(ticket(next++, "board"), start));
     }
     // The first 40 are half and half; each end then starts who is due.
     std::map<bool, int> running{{true, 20}, {false, 20}};
@@ -130,8 +130,8 @@
     admission value(1000);
     value.set_slots("pool", 2);
     for (request_id id = 1; id <= 50; ++id)
-        static_cast<void>(value.offer(ticket(id, "board"), start));
-    CHECK(queued(value.offer(ticket(51, "tokachi"), start)));
+        static_cast<void>(value.admit(ticket(id, "board"), start));
+    CHECK(queued(value.admit(ticket(51, "tokachi"), start)));
     value.end(1, true, start);
     CHECK(value.take_startable(start) == std::vector<request_id>{51});
 }
@@ -140,35 +140,35 @@
     admission value(100);
     value.set_slots("pool", 1);
     const milliseconds left{30'000};
-    static_cast<void>(value.offer(ticket(1, "board"), start));
-    static_cast<void>(value.offer(ticket(2, "board", left, 1), start));
-    static_cast<void>(value.offer(ticket(3, "board", left, 5), start));
+    static_cast<void>(value.admit(ticket(1, "board"), start));
+    static_cast<void>(value.admit(ticket(2, "board", left, 1), start));
+    static_cast<void>(value.admit(ticket(3, "board", left, 5), start));
     value.end(1, true, start);
     CHECK(value.take_startable(start) == std::vector<request_id>{3});
 }
 
 TEST_CASE("admission - what cannot be served in time is refused early") {
     admission value(100);
-    learn(value, milliseconds{1000});
+    set_average_service_time(value, milliseconds{1000});
     value.set_slots("pool", 1);
-    CHECK(granted(value.offer(ticket(1, "board"), start)));
-    CHECK(queued(value.offer(ticket(2, "board", milliseconds{2500}), start)));
+    CHECK(granted(value.admit(ticket(1, "board"), start)));
+    CHECK(queued(value.admit(ticket(2, "board", milliseconds{2500}), start)));
     const auto refusal =
-        refused(value.offer(ticket(3, "board", milliseconds{2500}), start));
+        refused(value.admit(ticket(3, "board", milliseconds{2500}), start));
     CHECK(refusal.reason == "overloaded");
     CHECK(refusal.retry_after == milliseconds{2000});
-    CHECK(queued(value.offer(ticket(4, "board"), start)));
+    CHECK(queued(value.admit(ticket(4, "board"), start)));
 }
 
 TEST_CASE("admission - a waiting request is given up before its deadline") {
     admission value(100);
-    learn(value, milliseconds{1000});
+    set_average_service_time(value, milliseconds{1000});
     value.set_slots("pool", 1);
-    static_cast<void>(value.offer(ticket(1, "board"), start));
+    static_cast<void>(value.admit(ticket(1, "board"), start));
     static_cast<void>(
-        value.offer(ticket(2, "board", milliseconds{2500}), start));
-    CHECK(value.take_hopeless(start + milliseconds{1400}).empty());
-    CHECK(value.take_hopeless(start + milliseconds{1500}) ==
+        value.admit(ticket(2, "board", milliseconds{2500}), start));
+    CHECK(value.take_unservable(start + milliseconds{1400}).empty());
+    CHECK(value.take_unservable(start + milliseconds{1500}) ==
           std::vector<request_id>{2});
     value.end(1, false, start);
     CHECK(value.size() == 0);
@@ -176,19 +176,19 @@
 
 TEST_CASE("admission - a slow class does not shut out a quick one") {
     admission value(100);
-    learn(value, milliseconds{20'000});
+    set_average_service_time(value, milliseconds{20'000});
     value.set_slots("pool", 1);
     admission_ticket quick = ticket(1, "board", milliseconds{2000});
     quick.request_class = "counter";
-    CHECK(granted(value.offer(quick, start)));
+    CHECK(granted(value.admit(quick, start)));
     value.end(1, true, start + milliseconds{300});
-    CHECK(granted(value.offer(ticket(2, "board", milliseconds{2000}), start)));
+    CHECK(granted(value.admit(ticket(2, "board", milliseconds{2000}), start)));
 }
 
 TEST_CASE("admission - a failed request does not shorten the estimate") {
     admission value(100);
-    learn(value, milliseconds{1000});
-    static_cast<void>(value.offer(ticket(1, "board"), start));
+    set_average_service_time(value, milliseconds{1000});
+    static_cast<void>(value.admit(ticket(1, "board"), start));
     value.end(1, false, start);
     CHECK(value.dump()["pools"]["pool"]["service_ms"] == 1000.0);
 }
--- a/tests/attempt_scheduler.cpp
+++ b/tests/attempt_scheduler.cpp
@@ -21,8 +21,8 @@
     return value;
 }
 
-attempt_scheduler serving_gate(std::uint32_t capacity = 2,
-                               std::uint32_t queue = 2) {
+attempt_scheduler make_serving_scheduler(std::uint32_t capacity = 2,
+                                         std::uint32_t queue = 2) {
     attempt_scheduler value(agent, scheduler_settings(capacity, queue));
     static_cast<void>(
         value.set_service({"pool", true, {version_a}, true}, start));
@@ -39,7 +39,7 @@
     return order;
 }
 
-run_order claimed_order_of(std::uint64_t sequence) {
+run_order non_idempotent_order(std::uint64_t sequence) {
     run_order order = order_of(sequence);
     order.non_idempotent = true;
     order.idempotency_key = "key";
@@ -60,11 +60,11 @@
 }
 
 template <typename Action>
-std::vector<Action> all(const attempt_scheduler::actions& actions) {
+std::vector<Action> actions_of_type(const attempt_scheduler::actions& actions) {
     std::vector<Action> found;
     for (const auto& action : actions) {
-        if (const auto* wanted = std::get_if<Action>(&action))
-            found.push_back(*wanted);
+        if (const auto* match = std::get_if<Action>(&action))
+            found.push_back(*match);
     }
     return found;
 }
@@ -72,14 +72,14 @@
 refusal refusal_of(const attempt_scheduler::actions& actions) {
     const auto refused = sent<run_refused>(actions);
     REQUIRE(refused.size() == 1);
-    CHECK(all<start_attempt>(actions).empty());
+    CHECK(actions_of_type<start_attempt>(actions).empty());
     return refused.front().reason;
 }
 
 } // namespace
 
 TEST_CASE("attempt scheduler - an order for another incarnation is refused") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     run_order order = order_of(1);
     order.agent.incarnation = 6;
     CHECK(refusal_of(value.on_run_order(entry, 1, order, start)) ==
@@ -87,7 +87,7 @@
 }
 
 TEST_CASE("attempt scheduler - only versions that the engine holds pass") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     run_order order = order_of(1);
     order.version = version_b;
     CHECK(refusal_of(value.on_run_order(entry, 1, order, start)) ==
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE("attempt scheduler - an expired order is refused") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     run_order order = order_of(1);
     order.deadline_ms = 0;
     CHECK(refusal_of(value.on_run_order(entry, 1, order, start)) ==
@@ -108,8 +108,9 @@
 
 TEST_CASE(
     "attempt scheduler - a full queue refuses and the refused never starts") {
-    attempt_scheduler value = serving_gate(1, 1);
-    CHECK(all<start_attempt>(value.on_run_order(entry, 1, order_of(1), start))
+    attempt_scheduler value = make_serving_scheduler(1, 1);
+    CHECK(actions_of_type<start_attempt>(
+              value.on_run_order(entry, 1, order_of(1), start))
               .size() == 1);
     CHECK(value.on_run_order(entry, 1, order_of(2), start).empty());
     CHECK(refusal_of(value.on_run_order(entry, 1, order_of(3), start)) ==
@@ -121,7 +122,7 @@
 }
 
 TEST_CASE("attempt scheduler - an order delayed behind its seal never runs") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     const auto sealed = value.on_seal_order(entry, {{entry, 1}}, start);
     CHECK(refusal_of(sealed) == refusal::sealed);
     CHECK(refusal_of(value.on_run_order(entry, 1, order_of(1), start)) ==
@@ -133,7 +134,7 @@
 }
 
 TEST_CASE("attempt scheduler - a started attempt cannot be sealed") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto actions = value.on_seal_order(entry, {{entry, 1}}, start);
     CHECK(sent<seal_failed>(actions).size() == 1);
@@ -142,7 +143,7 @@
 
 TEST_CASE("attempt scheduler - orders of an earlier epoch are void after a "
           "reconnect") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_link_up(entry, 2, start));
     CHECK(refusal_of(value.on_run_order(entry, 1, order_of(1), start)) ==
           refusal::stale_epoch);
@@ -150,10 +151,11 @@
 
 TEST_CASE("attempt scheduler - a reconnect seals what is queued and lists what "
           "started") {
-    attempt_scheduler value = serving_gate(2, 4);
+    attempt_scheduler value = make_serving_scheduler(2, 4);
     static_cast<void>(value.on_link_up(entry, 1, start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
-    static_cast<void>(value.on_run_order(entry, 1, claimed_order_of(2), start));
+    static_cast<void>(
+        value.on_run_order(entry, 1, non_idempotent_order(2), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(3), start));
     CHECK(value.queued() == 1);
     const auto result = value.on_link_up(entry, 2, start);
@@ -161,7 +163,8 @@
     std::sort(started.begin(), started.end());
     CHECK(started == std::vector<attempt_id>{{entry, 1}, {entry, 2}});
     CHECK(value.queued() == 0);
-    const auto cancelled = all<cancel_attempt>(result.effects);
+    const auto cancelled =
+        actions_of_type<cancel_attempt>(result.actions_after_hello);
     REQUIRE(cancelled.size() == 1);
     CHECK(cancelled.front().attempt == attempt_id{entry, 1});
     CHECK(value.running() == 1);
@@ -171,7 +174,7 @@
 
 TEST_CASE(
     "attempt scheduler - an ended attempt stays listed past its deadline") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(
         value.on_begin({entry, 1}, 200, "text/plain", version_a, start));
@@ -183,53 +186,54 @@
 
 TEST_CASE(
     "attempt scheduler - a kept answer is sent again from its first part") {
-    attempt_scheduler value = serving_gate();
-    static_cast<void>(value.on_run_order(entry, 1, claimed_order_of(1), start));
+    attempt_scheduler value = make_serving_scheduler();
+    static_cast<void>(
+        value.on_run_order(entry, 1, non_idempotent_order(1), start));
     static_cast<void>(
         value.on_begin({entry, 1}, 200, "text/plain", version_a, start));
     static_cast<void>(value.on_part({entry, 1}, "one", start));
     static_cast<void>(value.on_part({entry, 1}, "two", start));
     static_cast<void>(value.on_end({entry, 1}, start));
     const auto result = value.on_link_up(entry, 2, start);
-    CHECK(sent<answer_begin>(result.effects).size() == 1);
-    const auto parts = sent<answer_part>(result.effects);
+    CHECK(sent<answer_begin>(result.actions_after_hello).size() == 1);
+    const auto parts = sent<answer_part>(result.actions_after_hello);
     REQUIRE(parts.size() == 2);
     CHECK(parts[0].index == 0);
     CHECK(parts[1].data == "two");
-    REQUIRE(sent<answer_end>(result.effects).size() == 1);
-    CHECK(sent<answer_end>(result.effects).front().parts == 2);
+    REQUIRE(sent<answer_end>(result.actions_after_hello).size() == 1);
+    CHECK(sent<answer_end>(result.actions_after_hello).front().parts == 2);
 }
 
 TEST_CASE("attempt scheduler - a restarted entry with the same sequences "
           "starts anew") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 5, order_of(1), start));
-    const process_id again{"entry-1", 4};
-    const auto result = value.on_link_up(again, 1, start);
+    const process_id restarted{"entry-1", 4};
+    const auto result = value.on_link_up(restarted, 1, start);
     CHECK(result.started.empty());
     run_order order = order_of(1);
-    order.attempt.entry = again;
-    CHECK(
-        all<start_attempt>(value.on_run_order(again, 1, order, start)).size() ==
-        1);
+    order.attempt.entry = restarted;
+    CHECK(actions_of_type<start_attempt>(
+              value.on_run_order(restarted, 1, order, start))
+              .size() == 1);
     CHECK(refusal_of(value.on_run_order(entry, 6, order_of(2), start)) ==
           refusal::stale_epoch);
 }
 
 TEST_CASE("attempt scheduler - an answer of another version is not passed on") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto actions =
         value.on_begin({entry, 1}, 200, "text/plain", version_b, start);
     CHECK(sent<answer_begin>(actions).empty());
     CHECK(sent<run_failed>(actions).size() == 1);
-    CHECK(all<cancel_attempt>(actions).size() == 1);
+    CHECK(actions_of_type<cancel_attempt>(actions).size() == 1);
     CHECK(value.on_part({entry, 1}, "late", start).empty());
 }
 
 TEST_CASE("attempt scheduler - a version that goes away refuses what is queued "
           "for it") {
-    attempt_scheduler value = serving_gate(1, 2);
+    attempt_scheduler value = make_serving_scheduler(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     const auto actions =
@@ -240,7 +244,7 @@
 }
 
 TEST_CASE("attempt scheduler - a drain refuses new work and ends what it has") {
-    attempt_scheduler value = serving_gate(1, 2);
+    attempt_scheduler value = make_serving_scheduler(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     value.set_leaving();
@@ -249,7 +253,7 @@
     static_cast<void>(
         value.on_begin({entry, 1}, 200, "text/plain", version_a, start));
     const auto ended = value.on_end({entry, 1}, start);
-    CHECK(all<start_attempt>(ended).size() == 1);
+    CHECK(actions_of_type<start_attempt>(ended).size() == 1);
     CHECK_FALSE(value.idle());
     static_cast<void>(
         value.on_begin({entry, 2}, 200, "text/plain", version_a, start));
@@ -259,7 +263,7 @@
 
 TEST_CASE(
     "attempt scheduler - a back end that was not reached seals the attempt") {
-    attempt_scheduler value = serving_gate();
+    attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto refused =
         value.on_failed({entry, 1}, false, "connection refused", start);
@@ -271,18 +275,19 @@
 
 TEST_CASE(
     "attempt scheduler - a cancelled non-idempotent attempt runs to its end") {
-    attempt_scheduler value = serving_gate();
-    static_cast<void>(value.on_run_order(entry, 1, claimed_order_of(1), start));
+    attempt_scheduler value = make_serving_scheduler();
+    static_cast<void>(
+        value.on_run_order(entry, 1, non_idempotent_order(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     CHECK(value.on_cancel_order(entry, {{entry, 1}}, start).empty());
     const auto actions = value.on_cancel_order(entry, {{entry, 2}}, start);
-    CHECK(all<cancel_attempt>(actions).size() == 1);
+    CHECK(actions_of_type<cancel_attempt>(actions).size() == 1);
     CHECK(value.running() == 1);
 }
 
 TEST_CASE("attempt scheduler - an attempt past its deadline is stopped and "
           "reported") {
-    attempt_scheduler value = serving_gate(1, 2);
+    attempt_scheduler value = make_serving_scheduler(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
     const auto actions = value.tick(start + milliseconds{30'000});
--- a/tests/back_end.cpp
+++ b/tests/back_end.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr seconds patience{8};
+constexpr seconds test_timeout{8};
 
 /// What one call told the agent.
 struct call_record {
@@ -70,7 +70,7 @@
     calls = &server;
     core.after("test", std::chrono::nanoseconds(0),
                [&] { server.start(order, deadline); });
-    core.after("test", patience, [&core] { core.stop(); });
+    core.after("test", test_timeout, [&core] { core.stop(); });
     core.run();
     REQUIRE(record.has_ended());
     return record;
@@ -86,7 +86,7 @@
     return run_call(url_of(server), order);
 }
 
-scripted_answer events_of(const std::string& body) {
+scripted_answer stream_answer(const std::string& body) {
     return {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             "X-Model-Version: v1\r\nConnection: close\r\n\r\n" +
                 body,
@@ -97,7 +97,7 @@
 
 TEST_CASE("back end - a stream is delivered event by event") {
     const call_record record =
-        run_scripted(events_of("data: 1\n\ndata: 2\n\ndata: [DONE]\n\n"));
+        run_scripted(stream_answer("data: 1\n\ndata: 2\n\ndata: [DONE]\n\n"));
     const auto& begin = std::get<back_end_begin>(record.events.front());
     CHECK(begin.status == 200);
     CHECK(begin.version == "v1");
@@ -106,7 +106,8 @@
 }
 
 TEST_CASE("back end - a stream without its last event has failed") {
-    const call_record record = run_scripted(events_of("data: 1\n\ndata: 2\n"));
+    const call_record record =
+        run_scripted(stream_answer("data: 1\n\ndata: 2\n"));
     CHECK(record.parts() == "data: 1\n\n|");
     CHECK(record.failure().reached);
 }
@@ -135,9 +136,9 @@
 }
 
 TEST_CASE("back end - an answer that is cut may have run") {
-    const scripted_answer cut = {
+    const scripted_answer truncated = {
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort", true};
-    CHECK(run_scripted(cut).failure().reached);
+    CHECK(run_scripted(truncated).failure().reached);
     const scripted_answer none = {"", true};
     CHECK(run_scripted(none).failure().reached);
 }
@@ -190,7 +191,7 @@
                        });
         core.after("test", std::chrono::nanoseconds(0),
                    [&] { calls.start(order, seconds(5)); });
-        core.after("test", patience, [&core] { core.stop(); });
+        core.after("test", test_timeout, [&core] { core.stop(); });
         core.run();
         CHECK(ended == 2);
     };
--- a/tests/balancer.cpp
+++ b/tests/balancer.cpp
@@ -25,8 +25,9 @@
     return list;
 }
 
-deployment rule(const std::string& name, const std::string& organisation,
-                std::uint32_t percent) {
+deployment deployment_with_rule(const std::string& name,
+                                const std::string& organisation,
+                                std::uint32_t percent) {
     deployment value;
     value.name = name;
     value.service = "pool";
@@ -66,10 +67,10 @@
 TEST_CASE("balancer - own attempts in a report are not counted twice") {
     balancer_candidate value = idle_agent("a");
     value.reported = 6;
-    value.outstanding_then = 4;
+    value.outstanding_at_report = 4;
     value.outstanding = 4;
     CHECK(load_score(value) == Approx(6.0 / 16));
-    value.outstanding_then = 9;
+    value.outstanding_at_report = 9;
     CHECK(load_score(value) == Approx(4.0 / 16));
 }
 
@@ -161,7 +162,8 @@
 
 TEST_CASE("balancer - traffic follows the percentages") {
     rollout_document document;
-    document.deployments = {rule("new", "*", 10), rule("old", "*", 90)};
+    document.deployments = {deployment_with_rule("new", "*", 10),
+                            deployment_with_rule("old", "*", 90)};
     auto count = shares(document, "board");
     CHECK(count["new"] > 800);
     CHECK(count["new"] < 1200);
@@ -170,7 +172,8 @@
 
 TEST_CASE("balancer - what the percentages leave goes to the highest") {
     rollout_document document;
-    document.deployments = {rule("new", "*", 10), rule("old", "*", 30)};
+    document.deployments = {deployment_with_rule("new", "*", 10),
+                            deployment_with_rule("old", "*", 30)};
     auto count = shares(document, "board");
     CHECK(count["new"] < 1200);
     CHECK(count["new"] + count["old"] == 10'000);
@@ -178,9 +181,9 @@
 
 TEST_CASE("balancer - an organisation's own rule wins over the general one") {
     rollout_document document;
-    deployment trial = rule("trial", "*", 0);
+    deployment trial = deployment_with_rule("trial", "*", 0);
     trial.traffic.push_back({"board", 100});
-    document.deployments = {trial, rule("old", "*", 100)};
+    document.deployments = {trial, deployment_with_rule("old", "*", 100)};
     document.deployments.back().traffic.push_back({"board", 0});
     CHECK(shares(document, "board")["trial"] == 10'000);
     CHECK(shares(document, "tokachi")["old"] == 10'000);
@@ -188,7 +191,7 @@
 
 TEST_CASE("balancer - traffic that no rule allows has no deployment") {
     rollout_document document;
-    document.deployments = {rule("new", "board", 100)};
+    document.deployments = {deployment_with_rule("new", "board", 100)};
     CHECK(choose_deployments(document, "pool", "tokachi", 1).empty());
     CHECK(choose_deployments(document, "other", "board", 1).empty());
 }
--- a/tests/caller_api.cpp
+++ b/tests/caller_api.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr seconds patience{8};
+constexpr seconds test_timeout{8};
 constexpr const char* chat_body =
     R"({"model":"assistant","messages":[],"stream":true})";
 
@@ -37,7 +37,7 @@
   public:
     api_fixture()
         : local{"127.0.0.1", support::free_ports(1).front()}, server(core, 2),
-          callers(core, values, server, measures,
+          callers(core, values, server, registry,
                   {[] { return std::vector<std::string>{"http://a:1"}; },
                    [this](request_id id, incoming_request incoming) {
                        last = std::move(incoming);
@@ -58,7 +58,7 @@
     settings values;
     address local;
     api_server server;
-    metrics measures;
+    metrics registry;
     incoming_request last;
     std::atomic<request_id> last_id{0};
     std::atomic<int> begun{0};
@@ -85,7 +85,7 @@
     running_kernel running(api.core);
     raw_connection caller(api.local);
     caller.send(chat_request(chat_body));
-    REQUIRE(eventually(patience, [&] { return api.begun == 1; }));
+    REQUIRE(eventually(test_timeout, [&] { return api.begun == 1; }));
     CHECK(api.last.service == "assistant");
     CHECK(api.last.organisation == "head-office");
     CHECK(api.last.stream);
@@ -107,7 +107,7 @@
     running_kernel running(api.core);
     raw_connection caller(api.local);
     caller.send(chat_request(chat_body));
-    REQUIRE(eventually(patience, [&] { return api.begun == 1; }));
+    REQUIRE(eventually(test_timeout, [&] { return api.begun == 1; }));
     deliver(running, api,
             answer_begin_action{0, 200, "text/event-stream", "v1"});
     deliver(running, api, refuse_action{0, outcome::unknown, "agent_lost", {}});
@@ -121,7 +121,7 @@
     running_kernel running(api.core);
     raw_connection caller(api.local);
     caller.send(chat_request(chat_body));
-    REQUIRE(eventually(patience, [&] { return api.begun == 1; }));
+    REQUIRE(eventually(test_timeout, [&] { return api.begun == 1; }));
     deliver(running, api, answer_begin_action{0, 200, "text/plain", "v1"});
     deliver(running, api, answer_part_action{0, "half"});
     deliver(running, api, refuse_action{0, outcome::unknown, "agent_lost", {}});
@@ -136,7 +136,7 @@
     raw_connection caller(api.local);
     caller.send("GET /v1/services/ledger/rows/7?part=2&x=%20 HTTP/1.1\r\n"
                 "Host: x\r\nIdempotency-Key: k\r\n\r\n");
-    REQUIRE(eventually(patience, [&] { return api.begun == 1; }));
+    REQUIRE(eventually(test_timeout, [&] { return api.begun == 1; }));
     CHECK(api.last.service == "ledger");
     CHECK(api.last.path == "/rows/7?part=2&x=%20");
     CHECK(api.last.organisation == "default");
@@ -157,7 +157,7 @@
     for (const auto& [reason, status] : statuses) {
         caller.send(chat_request(chat_body));
         ++count;
-        REQUIRE(eventually(patience, [&] { return api.begun == count; }));
+        REQUIRE(eventually(test_timeout, [&] { return api.begun == count; }));
         deliver(running, api,
                 refuse_action{0, outcome::not_run, reason, milliseconds(1500)});
         const std::string answer = caller.read_until("}}");
@@ -173,7 +173,7 @@
     running_kernel running(api.core);
     raw_connection open(api.local);
     open.send(chat_request(chat_body));
-    REQUIRE(eventually(patience, [&] { return api.begun == 1; }));
+    REQUIRE(eventually(test_timeout, [&] { return api.begun == 1; }));
     running.ask([&] {
         api.callers.abandon_all();
         return true;
@@ -193,9 +193,9 @@
     {
         raw_connection caller(api.local);
         caller.send(chat_request(chat_body));
-        REQUIRE(eventually(patience, [&] { return api.begun == 1; }));
+        REQUIRE(eventually(test_timeout, [&] { return api.begun == 1; }));
     }
-    CHECK(eventually(patience, [&] { return api.cancelled == 1; }));
+    CHECK(eventually(test_timeout, [&] { return api.cancelled == 1; }));
     deliver(running, api, answer_part_action{0, "late"});
     CHECK(running.ask([&] { return api.callers.size(); }) == 0);
 }
@@ -205,13 +205,13 @@
     running_kernel running(api.core);
     raw_connection caller(api.local, 4096);
     caller.send(chat_request(chat_body));
-    REQUIRE(eventually(patience, [&] { return api.begun == 1; }));
+    REQUIRE(eventually(test_timeout, [&] { return api.begun == 1; }));
     deliver(running, api,
             answer_begin_action{0, 200, "text/event-stream", "v1"});
     deliver(running, api,
             answer_part_action{0, std::string(8 * 1024 * 1024, 'p')});
     CHECK(running.ask([&] { return api.callers.size(); }) == 1);
-    CHECK(eventually(patience, [&] { return api.cancelled == 1; }));
+    CHECK(eventually(test_timeout, [&] { return api.cancelled == 1; }));
     CHECK(running.ask([&] { return api.callers.size(); }) == 0);
 }
 
--- a/tests/chunk_assignment.cpp
+++ b/tests/chunk_assignment.cpp
@@ -23,8 +23,8 @@
 }
 
 chunk_assignment
-place(const std::vector<swarm_member>& members, const std::string& self,
-      const distribution_strategy& strategy = rendezvous_strategy{}) {
+assign(const std::vector<swarm_member>& members, const std::string& self,
+       const distribution_strategy& strategy = rendezvous_strategy{}) {
     return {strategy, members, self, version, chunks};
 }
 
@@ -33,8 +33,8 @@
 TEST_CASE("chunk assignment - every chunk has one first reader") {
     const auto members = make_members(72);
     std::vector<int> readers(chunks, 0);
-    for (const swarm_member& entry : members) {
-        const chunk_assignment roles = place(members, entry.name);
+    for (const swarm_member& member : members) {
+        const chunk_assignment roles = assign(members, member.name);
         for (std::uint32_t index = 0; index < chunks; ++index)
             readers[index] += roles.role(index).origin_rank == 0 ? 1 : 0;
     }
@@ -45,26 +45,26 @@
 TEST_CASE("chunk assignment - a chunk has one owner in each data centre") {
     const auto members = make_members(72);
     std::map<std::pair<std::string, std::uint32_t>, int> owners;
-    for (const swarm_member& entry : members) {
-        const chunk_assignment roles = place(members, entry.name);
+    for (const swarm_member& member : members) {
+        const chunk_assignment roles = assign(members, member.name);
         for (std::uint32_t index = 0; index < chunks; ++index)
-            owners[{entry.data_centre, index}] +=
+            owners[{member.data_centre, index}] +=
                 roles.role(index).owner_rank == 0 ? 1 : 0;
     }
     CHECK(std::all_of(owners.begin(), owners.end(),
-                      [](const auto& entry) { return entry.second == 1; }));
+                      [](const auto& owner) { return owner.second == 1; }));
 }
 
 TEST_CASE("chunk assignment - remote owners are those that own the chunk") {
     const auto members = make_members(12);
-    const chunk_assignment roles = place(members, "agent-0");
+    const chunk_assignment roles = assign(members, "agent-0");
     for (std::uint32_t index = 0; index < chunks; ++index) {
         if (roles.role(index).origin_rank != 0)
             continue;
         const auto owners = roles.remote_owners(index);
         REQUIRE(owners.size() == 2);
         for (const std::string& owner : owners)
-            CHECK(place(members, owner).role(index).owner_rank == 0);
+            CHECK(assign(members, owner).role(index).owner_rank == 0);
     }
 }
 
@@ -72,9 +72,9 @@
     const auto members = make_members(24);
     auto fewer = members;
     fewer.erase(fewer.begin() + 5);
-    for (const swarm_member& entry : fewer) {
-        const chunk_assignment before = place(members, entry.name);
-        const chunk_assignment after = place(fewer, entry.name);
+    for (const swarm_member& member : fewer) {
+        const chunk_assignment before = assign(members, member.name);
+        const chunk_assignment after = assign(fewer, member.name);
         for (std::uint32_t index = 0; index < chunks; ++index)
             if (before.role(index).owner_rank == 0)
                 CHECK(after.role(index).owner_rank <= 1);
@@ -83,7 +83,7 @@
 
 TEST_CASE("chunk assignment - neighbours stay few at 600 members") {
     const auto members = make_members(600);
-    const chunk_assignment roles = place(members, "agent-17");
+    const chunk_assignment roles = assign(members, "agent-17");
     CHECK(roles.neighbours().size() == 24);
     const auto local = std::count_if(
         roles.neighbours().begin(), roles.neighbours().end(),
@@ -93,21 +93,23 @@
 
 TEST_CASE("chunk assignment - direct reads everything from the origin") {
     const auto members = make_members(6);
-    const chunk_assignment roles = place(members, "agent-3", direct_strategy{});
+    const chunk_assignment roles =
+        assign(members, "agent-3", direct_strategy{});
     CHECK(roles.neighbours().empty());
     CHECK(roles.role(7).origin_rank == 0);
-    CHECK_FALSE(roles.may_ask("agent-1"));
+    CHECK_FALSE(roles.may_fetch_from("agent-1"));
 }
 
 TEST_CASE("chunk assignment - a tree has one root and asks the parent alone") {
     const auto members = make_members(7);
     int roots = 0;
-    for (const swarm_member& entry : members) {
+    for (const swarm_member& member : members) {
         const chunk_assignment roles =
-            place(members, entry.name, tree_strategy{2});
+            assign(members, member.name, tree_strategy{2});
         const auto sources = std::count_if(
             members.begin(), members.end(), [&](const swarm_member& peer) {
-                return peer.name != entry.name && roles.may_ask(peer.name);
+                return peer.name != member.name &&
+                       roles.may_fetch_from(peer.name);
             });
         const bool is_root = roles.role(0).origin_rank == 0;
         roots += is_root ? 1 : 0;
--- a/tests/prompt_prefix.cpp
+++ b/tests/prompt_prefix.cpp
@@ -34,7 +34,7 @@
 
 TEST_CASE("prompt prefix - an engine's block gets the hash that entries know") {
     prefix_map known;
-    known.note(version, chat({block + "rest"}).dump());
+    known.record(version, chat({block + "rest"}).dump());
     const auto found = known.translate({1, engine_number(block)});
     REQUIRE(found.size() == 1);
     CHECK(found.front() ==
@@ -43,8 +43,8 @@
 
 TEST_CASE("prompt prefix - a malformed prompt or hash is passed over") {
     prefix_map known;
-    known.note(version, "not json");
-    known.note(version, chat({"short"}).dump());
+    known.record(version, "not json");
+    known.record(version, chat({"short"}).dump());
     CHECK(known.translate({engine_number(block), 0}).empty());
     CHECK(engine_block_number("xyz") == 0);
     CHECK(engine_block_number("not hexadecimal at all") == 0);
--- a/tests/support/request_cluster_links.cpp
+++ b/tests/support/request_cluster_links.cpp
@@ -81,7 +81,7 @@
     auto result =
         agent.value->on_link_up(greeting.sender, greeting.epoch, now_);
     link.to_entry.emplace_back(hello_reply{agent.id, result.started});
-    apply_at_agent(link.agent, result.effects);
+    apply_at_agent(link.agent, result.actions_after_hello);
 }
 
 void request_cluster::take_at_agent(connection& link, const message& body) {
