--- a/include/ospreystage/requests/admission.hpp
+++ b/include/ospreystage/requests/admission.hpp
@@ -21,77 +21,84 @@
 /// The request may be dispatched now.
 struct admission_granted {};
 
-/// The request waits; `admission::take_startable` names it later.
+/// The request is queued; `admission::take_startable` returns it once it may be
+/// dispatched.
 struct admission_queued {};
 
-/// The request is not taken.
+/// The request is rejected.
 struct admission_refused {
     std::string reason; ///< `rate_limited` or `overloaded`.
     milliseconds retry_after{};
 };
 
-/// Answer of the admission to a new request.
+/// Outcome of `admission::admit` for a new request.
 using admission_decision =
     std::variant<admission_granted, admission_queued, admission_refused>;
 
-/// A request as the admission sees it.
+/// The properties of a request that decide about its admission.
 struct admission_ticket {
     request_id request = 0;
     std::string organisation;
     std::string service;
     std::string request_class;
-    std::uint32_t priority = 0; ///< Higher goes first.
+    std::uint32_t priority = 0; ///< Higher values are dispatched first.
     instant deadline{};
 };
 
-/// Decides when requests may be dispatched, and which are refused early.
+/// Schedules the dispatch of requests and rejects those that cannot be served.
 ///
-/// Each organisation has a token bucket for its rate, and under contention a
-/// share of each service's slots by its weight. A request that would wait
-/// longer than its deadline allows is refused at once.
+/// A token bucket limits the rate of each organisation. Under contention the
+/// slots of a service are shared among organisations in proportion to their
+/// weights. A request that is not expected to complete within its deadline is
+/// rejected at once.
 class admission {
   public:
     // ---- Construction ------------------------------------------------------
 
-    /// `limit` bounds the requests in progress and waiting together.
+    /// `limit` bounds the number of running and queued requests together.
     explicit admission(std::size_t limit);
 
     // ---- Observers ---------------------------------------------------------
 
+    /// Returns the number of running and queued requests.
     [[nodiscard]] std::size_t size() const noexcept;
 
-    /// Time that a new request of the ticket's kind would wait for a slot.
+    /// Estimates how long a new request with this ticket would wait for a slot.
     [[nodiscard]] milliseconds
     expected_wait(const admission_ticket& ticket) const;
 
-    /// Describes pools and buckets for the state dump.
+    /// Returns the state of pools and token buckets for the state dump.
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Inputs ------------------------------------------------------------
 
-    /// Takes weights and rates of the organisations.
+    /// Applies the weights and rates of the organisations; an organisation
+    /// that already had a rate keeps its remaining tokens.
     void set_document(const rollout_document& document, instant now);
 
-    /// Sets how many requests of a service may be in progress; 0: no limit
-    /// but the total one.
+    /// Sets how many requests of a service may run at the same time; 0: only
+    /// the total limit applies.
     void set_slots(const std::string& service, std::uint32_t slots);
 
+    /// Admits, queues or rejects a new request.
     [[nodiscard]] admission_decision admit(const admission_ticket& ticket,
                                            instant now);
 
-    /// Returns waiting requests that may be dispatched from now on.
+    /// Marks queued requests as running while slots are free and returns them.
     [[nodiscard]] std::vector<request_id> take_startable(instant now);
 
-    /// Returns and drops waiting requests that can't be served in time.
+    /// Drops and returns the queued requests that can no longer complete
+    /// within their deadline.
     [[nodiscard]] std::vector<request_id> take_unservable(instant now);
 
-    /// A request ended; `answered` says whether its time counts for estimates.
+    /// Removes a request. Its service time enters the estimates if `answered`
+    /// is true.
     void end(request_id request, bool answered, instant now);
 
   private:
     struct bucket {
         std::uint32_t weight = 1;
-        std::uint32_t rate = 0; ///< Tokens a second; 0: unlimited.
+        std::uint32_t rate = 0; ///< Tokens per second; 0: unlimited.
         std::uint32_t burst = 1;
         double tokens = 0;
         instant refilled_at{};
@@ -105,7 +112,8 @@
     struct pool {
         std::uint32_t slots = 0;
         std::uint32_t running = 0;
-        /// Moving averages of the time to the whole answer; 0: not known.
+        /// Moving average of the time from dispatch to the complete answer, in
+        /// milliseconds; 0: unknown.
         double service_ms = 0;
         std::map<std::string, double> service_ms_by_class;
         std::map<std::string, std::uint32_t> running_by_organisation;
@@ -121,7 +129,8 @@
     [[nodiscard]] std::string
     next_organisation(const pool& target,
                       const organisation_queues& queues) const;
-    /// Time that a request of the ticket's class takes once dispatched.
+    /// Returns the average time from dispatch to the complete answer for the
+    /// class of the ticket; 0 if it is unknown.
     [[nodiscard]] static milliseconds
     expected_service_time(const pool& target, const admission_ticket& ticket);
     void start(pool& target, request_id request, instant now);
--- a/include/ospreystage/requests/attempt_scheduler.hpp
+++ b/include/ospreystage/requests/attempt_scheduler.hpp
@@ -20,145 +20,164 @@
 
 namespace ospreystage {
 
-/// Starts `order` at the back end.
+/// Starts the attempt of `order` at the back end.
 struct start_attempt {
     run_order order;
-    milliseconds deadline{}; ///< Time left.
+    milliseconds deadline{}; ///< Time until the deadline.
 };
 
-/// Stops an attempt that runs at the back end.
+/// Cancels an attempt that is running at the back end.
 struct cancel_attempt {
     attempt_id attempt;
 };
 
-/// Sends `body` on the latest connection of an entry's incarnation.
+/// Sends `body` on the latest connection of an incarnation of an entry.
 ///
-/// The shell drops it if that incarnation has no connection.
+/// The message is dropped if that incarnation has no connection.
 struct send_to_entry {
     process_id entry;
     message body;
 };
 
-/// Effect that the scheduler asks its shell for.
+/// An effect that the scheduler requests from the attempt service.
 using scheduler_action =
     std::variant<start_attempt, cancel_attempt, send_to_entry>;
 
 /// Effects in the order in which they must happen.
 using scheduler_actions = std::vector<scheduler_action>;
 
-/// What the agent serves at the moment.
+/// The service that the agent currently serves.
 struct scheduled_service {
     std::string name;
-    bool engine = true;           ///< False: a plain service.
+    bool engine = true;           ///< False for a plain service.
     std::vector<digest> versions; ///< Versions that the engine may be asked
                                   ///< for; ignored for plain services.
-    bool in_force = false;        ///< The document lists this VM for it.
+    bool in_force = false;        ///< The document assigns this VM to it.
 };
 
-/// Admits attempts to the back end of an agent and keeps their history.
+/// Schedules attempts on the back end of an agent and records their history.
 ///
-/// Pure: it holds no socket, clock or thread. An attempt that was refused is
-/// sealed: it never starts, whatever arrives later. An attempt that started is
-/// listed to its entry until its retention has passed.
+/// The class does no I/O, reads no clock and starts no thread. A refused
+/// attempt is sealed: later messages cannot start it. A started attempt is
+/// reported to its entry on each reconnect until its record is pruned.
 class attempt_scheduler {
   public:
     using action = scheduler_action;
     using actions = scheduler_actions;
 
-    /// Answer to a new connection of an entry.
+    /// Result of a new connection of an entry.
     struct link_result {
         std::vector<attempt_id> started; ///< For `hello_reply`.
-        /// Effects after the `hello_reply` was sent: answers that the entry
-        /// may have missed are sent again from their first part.
+        /// Actions to perform after `hello_reply` was sent. Answers that the
+        /// entry may have missed are resent from their first part.
         actions actions_after_hello;
     };
 
     // ---- Construction ------------------------------------------------------
 
-    /// Takes capacity and queue length from `configuration`.
+    /// Reads the capacity and the queue limit from `configuration`.
     attempt_scheduler(process_id self, const settings& configuration);
 
     // ---- Observers ---------------------------------------------------------
 
+    /// Returns the number of attempts that run at the back end.
     [[nodiscard]] std::uint32_t running() const noexcept;
+
+    /// Returns the number of queued attempts.
     [[nodiscard]] std::uint32_t queued() const noexcept;
 
-    /// Returns true if nothing runs and nothing is queued.
+    /// Returns true if no attempt is running or queued.
     [[nodiscard]] bool idle() const noexcept;
 
+    /// Returns true if new attempts are refused, see `set_leaving`.
     [[nodiscard]] bool is_leaving() const noexcept;
 
     /// Returns true if a queued or running attempt needs `version`.
     [[nodiscard]] bool is_version_in_use(const digest& version) const;
 
-    /// Describes attempts, seals and counters for the state dump.
+    /// Returns attempts, entries and counters for the state dump.
     [[nodiscard]] nlohmann::json dump() const;
 
-    // ---- Inputs: what may be served ----------------------------------------
+    // ---- Inputs: service ---------------------------------------------------
 
-    /// Replaces what is served. Queued attempts whose version is gone are
-    /// refused; running ones go on.
+    /// Replaces the service. Queued attempts whose service or version is no
+    /// longer served are refused; running attempts continue.
     [[nodiscard]] actions set_service(scheduled_service service, instant now);
 
-    /// Refuses new attempts; queued and running ones go on to their end.
+    /// Refuses new attempts; queued and running attempts continue to their end.
     void set_leaving();
 
     // ---- Inputs: entries ---------------------------------------------------
 
+    /// Queues, starts or refuses the attempt of an order. An order for a known
+    /// attempt has no effect, except that a sealed attempt is refused again.
     [[nodiscard]] actions on_run_order(const process_id& entry,
                                        std::uint64_t epoch,
                                        const run_order& order, instant now);
+
+    /// Prevents an attempt from starting; replies `seal_failed` if it has
+    /// already started.
     [[nodiscard]] actions on_seal_order(const process_id& entry,
                                         const seal_order& order, instant now);
+
+    /// Cancels an idempotent attempt, or seals one that has not started. A
+    /// non-idempotent attempt that runs continues to its end.
     [[nodiscard]] actions on_cancel_order(const process_id& entry,
                                           const cancel_order& order,
                                           instant now);
 
-    /// An entry opened a connection. Called while `hello_reply` is made.
+    /// Handles a new connection of an entry, while `hello_reply` is built.
     ///
-    /// Every attempt of earlier epochs that has not started is sealed; running
-    /// idempotent ones are cancelled, since the entry tries them elsewhere.
+    /// Attempts of earlier epochs that have not started are sealed. Running
+    /// idempotent attempts are cancelled, since the entry retries them at
+    /// other agents.
     [[nodiscard]] link_result on_link_up(const process_id& entry,
                                          std::uint64_t epoch, instant now);
 
-    /// The entry's connection of `epoch` ended.
+    /// Handles the end of the entry's connection of `epoch`.
     [[nodiscard]] actions on_link_down(const process_id& entry,
                                        std::uint64_t epoch, instant now);
 
     // ---- Inputs: back end --------------------------------------------------
 
+    /// Handles the head of an answer. The attempt fails if an engine answers
+    /// with a version other than the ordered one.
     [[nodiscard]] actions on_begin(const attempt_id& attempt,
                                    std::uint16_t status,
                                    const std::string& content_type,
                                    const digest& version, instant now);
 
-    /// `data` is one token event of a streamed engine answer, or any bytes.
+    /// Forwards a part of an answer; `data` is one event of a stream or a
+    /// piece of another body.
     [[nodiscard]] actions on_part(const attempt_id& attempt, std::string data,
                                   instant now);
+
+    /// Handles the end of a complete answer.
     [[nodiscard]] actions on_end(const attempt_id& attempt, instant now);
 
-    /// The back end failed. `reached` is false if the attempt certainly never
-    /// reached it (connection refused): then the attempt is sealed.
+    /// Handles a failed call. `reached` is false if the back end certainly did
+    /// not run the attempt, for example because the connection was refused;
+    /// the attempt is then sealed.
     [[nodiscard]] actions on_failed(const attempt_id& attempt, bool reached,
                                     const std::string& detail, instant now);
 
     // ---- Inputs: time ------------------------------------------------------
 
-    /// Acts on deadlines and retention that are due; call every 20 ms.
+    /// Enforces deadlines and prunes expired records; called every 20 ms.
     [[nodiscard]] actions tick(instant now);
 
   private:
     enum class phase : std::uint8_t { queued, running, ended, sealed };
 
-    /// One attempt that this agent has heard of.
+    /// An attempt that is known to this agent.
     struct attempt_record {
         phase state = phase::sealed;
         run_order order;
-        std::uint64_t epoch = 0; ///< Connection that the order came on.
+        std::uint64_t epoch = 0; ///< Epoch of the connection of the order.
         instant deadline{};
         instant prune_at{};
         bool has_begun = false;
-        bool is_answer_retained = false; ///< `answer` holds every frame so far.
+        bool is_answer_retained = false; ///< `answer` has every frame so far.
         std::vector<message> answer;
         std::size_t answer_bytes = 0;
         std::uint32_t part_count = 0;
@@ -168,11 +187,12 @@
     struct entry_record {
         process_id entry;
         std::uint64_t epoch = 0;
-        /// Sequences up to this one were forgotten; orders with them are void.
+        /// Highest sequence of a pruned attempt. Orders for unknown attempts up
+        /// to it are refused, since the attempt may have run before.
         std::uint64_t pruned_up_to = 0;
     };
 
-    /// Place in the queue: higher priority first, then arrival.
+    /// Sort key of the queue: descending priority, then order of arrival.
     struct queue_position {
         std::uint32_t priority = 0;
         std::uint64_t arrival = 0;
--- a/include/ospreystage/requests/attempt_service.hpp
+++ b/include/ospreystage/requests/attempt_service.hpp
@@ -14,47 +14,50 @@
 
 namespace ospreystage {
 
-/// Load of the backend_server as it last reported it.
+/// Load that the backend_server reported last.
 struct back_end_load {
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::uint32_t capacity = 0;
     instant measured_at{};
-    std::vector<std::uint64_t> prefixes; ///< Blocks that it caches.
+    std::vector<std::uint64_t> prefixes; ///< Numbers of its cached blocks.
 };
 
-/// Shell of the agent's attempt scheduler: carries its actions to links and the
-/// back end, and reports load to the entries that are connected.
+/// Runs the agent's attempt scheduler: performs its actions on links and the
+/// back end, and reports the load to connected entries.
 class attempt_service {
   public:
     // ---- Construction ------------------------------------------------------
 
     attempt_service(kernel& core, const settings& configuration);
 
-    /// Subscribes to links and starts the ticks; before `links::start`.
+    /// Subscribes to links and starts the timers; call before `links::start`.
     void start();
 
     // ---- Observers ---------------------------------------------------------
 
+    /// Returns true if no attempt is running or queued.
     [[nodiscard]] bool idle() const noexcept;
 
     /// Returns true if a queued or running attempt needs `version`.
     [[nodiscard]] bool is_version_in_use(const digest& version) const;
 
-    /// Attempts that the back end runs for this agent.
+    /// Returns the number of attempts that run at the back end.
     [[nodiscard]] std::uint32_t running() const noexcept;
 
+    /// Returns the state of the scheduler and the load of the back end for the
+    /// state dump.
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Replaces what is served.
+    /// Replaces the service, see `attempt_scheduler::set_service`.
     void set_service(scheduled_service service);
 
-    /// Notes the back end's own figures.
+    /// Stores the load that the back end reported.
     void set_load(back_end_load load);
 
-    /// Refuses new attempts; those in progress go on.
+    /// Refuses new attempts; queued and running attempts continue.
     void set_leaving();
 
   private:
--- a/include/ospreystage/requests/back_end.hpp
+++ b/include/ospreystage/requests/back_end.hpp
@@ -16,39 +16,39 @@
 
 namespace ospreystage {
 
-/// The back end began to answer.
+/// The head of an answer was received.
 struct back_end_begin {
     std::uint16_t status = 0;
     std::string content_type;
     digest version; ///< From `X-Model-Version`, empty if there is none.
 };
 
-/// One event of a stream, or any bytes of another answer.
+/// One event of a stream, or a piece of another body.
 struct back_end_part {
     std::string data;
 };
 
-/// The answer is whole.
+/// The answer is complete.
 struct back_end_end {};
 
 /// The call failed.
 struct back_end_failed {
-    bool reached = true; ///< False: the back end never saw the request.
+    bool reached = true; ///< False: the request was not run.
     std::string detail;
 };
 
 using back_end_event =
     std::variant<back_end_begin, back_end_part, back_end_end, back_end_failed>;
 
-/// Calls the backend_server of this VM over HTTP, on the kernel's thread.
+/// HTTP client for the backend_server of this VM; runs on the kernel's thread.
 class back_end {
   public:
     using callback = std::function<void(const attempt_id&, back_end_event)>;
 
     // ---- Construction ------------------------------------------------------
 
-    /// Calls `url` (`http://host:port`). The receiver is never called from
-    /// within `start` or `cancel`.
+    /// Sends calls to `url` (`http://host:port`). `receiver` is never called
+    /// from within `start` or `cancel`.
     back_end(kernel& core, std::string url, callback receiver);
 
     // ---- Observers ---------------------------------------------------------
@@ -58,21 +58,20 @@
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Starts a call; one of `back_end_end` and `back_end_failed` follows.
+    /// Starts a call. Its last event is `back_end_end` or `back_end_failed`.
     void start(const run_order& order, milliseconds deadline);
 
-    /// Breaks a call off, which fails.
+    /// Aborts a call; `back_end_failed` follows.
     void cancel(const attempt_id& attempt);
 
   private:
     struct running_call {
         call_id call{};
-        bool refusal_means_not_run =
-            false; ///< A refusal says that it did not run.
+        bool refusal_means_not_run = false; ///< True for engines only.
         bool stream_requested = false;
         bool is_event_stream = false;
         bool stream_complete = false;
-        std::uint16_t refused_status = 0; ///< 0: not refused.
+        std::uint16_t refused_status = 0; ///< 0 if not refused.
         instant last_received{};
         event_splitter splitter;
     };
--- a/include/ospreystage/requests/balancer.hpp
+++ b/include/ospreystage/requests/balancer.hpp
@@ -14,49 +14,51 @@
 
 namespace ospreystage {
 
-/// An agent that may get an attempt, as the entry sees it.
+/// Load of an agent to which an attempt may be sent, as known to the entry.
 struct balancer_candidate {
     std::string agent;
-    std::uint32_t outstanding = 0; ///< Attempts of this entry in flight there.
-    std::uint32_t reported = 0;    ///< Running and queued, of every entry.
-    /// This entry's attempts in flight there when the report came.
+    std::uint32_t outstanding = 0; ///< Attempts of this entry in flight.
+    std::uint32_t reported = 0;    ///< Running and queued, of all entries.
+    /// Attempts of this entry in flight when the report was received.
     std::uint32_t outstanding_at_report = 0;
     std::uint32_t capacity = 1;
-    milliseconds age{};      ///< Age of the reported figures.
-    bool has_prefix = false; ///< Reports the request's prompt prefix.
+    milliseconds age{};      ///< Age of the load report.
+    bool has_prefix = false; ///< Caches the request's prompt prefix.
 };
 
-/// Returns how much a report of this age still counts, from 1 down to 0.
+/// Returns the weight of a load report: 1 when new, falling towards 0 with age.
 [[nodiscard]] double report_weight(milliseconds age) noexcept;
 
-/// Estimates the load of a candidate as a share of its capacity.
+/// Estimates the load of a candidate as a fraction of its capacity.
 ///
-/// Own attempts are known exactly. The share of the other entries fades with
-/// the age of the report; a cached prefix lowers the result a little.
+/// The attempts of this entry are known exactly. The load of other entries is
+/// weighted by the age of the report. A cached prefix lowers the score.
 [[nodiscard]] double load_score(const balancer_candidate& candidate);
 
-/// Takes the better of two random candidates, and the best with the prefix.
+/// Picks the candidate with the lowest score out of two random ones and all
+/// that cache the prompt prefix.
 struct two_choice_routing {};
 
-/// Takes the candidates in turn.
+/// Picks the candidates in turn.
 struct round_robin_routing {
     std::size_t next = 0;
 };
 
-/// Takes any candidate.
+/// Picks a candidate uniformly at random.
 struct random_routing {};
 
-/// Chooses the agent of an attempt.
+/// Chooses the agent for an attempt.
 class balancer {
   public:
     using routing =
         std::variant<two_choice_routing, round_robin_routing, random_routing>;
 
-    /// `name` is `two_choice`, `round_robin` or `random`; anything else means
-    /// `two_choice`.
+    /// `name` is `two_choice`, `round_robin` or `random`; any other value
+    /// selects `two_choice`.
     balancer(const std::string& name, std::uint64_t seed);
 
-    /// Returns the index of the chosen candidate, or nothing if there is none.
+    /// Returns the index of the chosen candidate, or nothing if there are no
+    /// candidates.
     [[nodiscard]] std::optional<std::size_t>
     choose(const std::vector<balancer_candidate>& candidates);
 
@@ -71,9 +73,10 @@
 
 /// Returns the agents of one service that an entry connects to.
 ///
-/// Each entry takes an equal window of the agents in one common order, so that
-/// every agent is covered and none by many more entries than another. If
-/// `self` is not in `entries`, the window is chosen by the hash of its name.
+/// Each entry takes a window of equal size out of one common order of the
+/// agents, so that every agent is covered by a similar number of entries. If
+/// `self` is not in `entries`, the agents are chosen by the hash of its name.
+/// The result exceeds `size` if few entries have to cover all agents.
 [[nodiscard]] std::vector<std::string>
 agent_subset(const std::string& self, std::vector<std::string> entries,
              const std::vector<std::string>& agents, std::size_t size);
@@ -83,11 +86,11 @@
 [[nodiscard]] std::uint32_t traffic_percent(const deployment& target,
                                             const std::string& organisation);
 
-/// Returns the deployments of `service` that may answer the request, the
-/// chosen one first and then by falling percentage.
+/// Returns the deployments of `service` that may answer the request: the
+/// chosen one, then the others by descending percentage.
 ///
-/// The choice is a function of organisation and request alone. What the
-/// percentages leave over goes to the deployment with the highest one.
+/// The choice depends on organisation and request alone. If the percentages
+/// add up to less than 100, the rest goes to the highest one.
 [[nodiscard]] std::vector<const deployment*>
 choose_deployments(const rollout_document& document, const std::string& service,
                    const std::string& organisation, std::uint64_t request);
--- a/include/ospreystage/requests/caller_api.hpp
+++ b/include/ospreystage/requests/caller_api.hpp
@@ -18,23 +18,24 @@
 
 namespace ospreystage {
 
-/// What the caller's side of a request learns, in order; it ends with
-/// `answer_end_action` or `refuse_action`.
+/// Event of a request for its caller. The last one is `answer_end_action` or
+/// `refuse_action`.
 using exchange_event = std::variant<answer_begin_action, answer_part_action,
                                     answer_end_action, refuse_action>;
 
-/// HTTP interface for callers, on the kernel's thread.
+/// HTTP API for callers; runs on the kernel's thread.
 ///
-/// - `GET /v1/entries`: addresses to use and how long they may be kept.
+/// - `GET /v1/entries`: URLs of the entries and how long they may be cached.
 /// - `POST /v1/chat/completions`: requests to model engines; `model` names
-///   the service, `X-Organisation` and `X-Class` the caller's terms.
+///   the service, `X-Organisation` and `X-Class` the customer and class.
 /// - `/v1/services/{service}/…`: requests to plain services.
 ///
 /// A refusal carries `{"error":{"outcome","reason","retry_after_ms"}}` and
-/// `Retry-After`; within a stream it is an event, and no `[DONE]` follows.
+/// `Retry-After`. Within a stream it is sent as an event without a final
+/// `[DONE]`.
 class caller_api {
   public:
-    /// What the interface needs from the rest of the entry.
+    /// Callbacks into the rest of the entry.
     struct dependencies {
         std::function<std::vector<std::string>()> entries; ///< HTTP URLs.
         std::function<void(request_id, incoming_request)> begin;
@@ -43,34 +44,35 @@
 
     // ---- Construction ------------------------------------------------------
 
-    /// Adds the routes to `server`.
+    /// Registers the routes at `server`.
     caller_api(kernel& core, const settings& configuration, api_server& server,
                metrics& registry, dependencies callbacks);
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Number of requests that have no whole answer yet.
+    /// Returns the number of requests whose answer is not complete.
     [[nodiscard]] std::size_t size() const noexcept;
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Hands an event to the caller of a request; one that went is ignored.
+    /// Delivers an event to the caller of a request; ignored if the request is
+    /// no longer open.
     void deliver(request_id id, const exchange_event& event);
 
-    /// Ends every open request as `unknown`: nothing answers it any more.
+    /// Ends every open request with the outcome `unknown`, since no answer will
+    /// follow.
     ///
-    /// A request that is read later is refused as `not-run`.
+    /// Requests that are read afterwards are refused as `not-run`.
     void abandon_all();
 
   private:
     struct open_request {
         exchange_id exchange{};
         instant arrived_at{};
-        bool stream_requested =
-            false; ///< Parts go to the caller as they arrive.
+        bool stream_requested = false; ///< Parts are forwarded at once.
         bool has_begun = false;
         bool is_event_stream = false;
-        http_response answer; ///< Collected, unless it is a stream.
+        http_response answer; ///< Body is buffered if not a stream.
         std::optional<instant> unread_since;
     };
 
--- a/include/ospreystage/requests/chunk_assignment.hpp
+++ b/include/ospreystage/requests/chunk_assignment.hpp
@@ -9,7 +9,7 @@
 
 namespace ospreystage {
 
-/// One agent that takes part in the distribution.
+/// An agent that takes part in the distribution.
 struct swarm_member {
     std::string name;
     std::string data_centre;
@@ -18,8 +18,9 @@
 
 /// Rendezvous hashing picks the origin reader and the owner of each chunk.
 struct rendezvous_strategy {
-    std::uint32_t origin_copies = 1; ///< Readers of each chunk.
-    /// Agents that share the origin's link, over all data centres.
+    std::uint32_t origin_copies = 1; ///< Origin readers of each chunk.
+    /// Agents that read from the origin and share its link, over all data
+    /// centres.
     std::uint32_t readers = 6;
     friend bool operator==(const rendezvous_strategy&,
                            const rendezvous_strategy&) = default;
@@ -31,40 +32,41 @@
                            const direct_strategy&) = default;
 };
 
-/// Baseline: a tree by rank; its root alone reads from the origin.
+/// Baseline: a tree over the sorted members; only its root reads from the
+/// origin.
 struct tree_strategy {
-    std::uint32_t fan_out = 2; ///< Children of a node.
+    std::uint32_t fan_out = 2; ///< Children per node.
     friend bool operator==(const tree_strategy&,
                            const tree_strategy&) = default;
 };
 
-/// How chunks and their sources are assigned to agents.
+/// Strategy that assigns chunks and their sources to agents.
 using distribution_strategy =
     std::variant<rendezvous_strategy, direct_strategy, tree_strategy>;
 
-/// What this agent has to do for one chunk.
+/// Role of this agent for one chunk.
 struct chunk_role {
-    /// Value of a rank that the agent does not have.
+    /// Marks that the agent has no such rank.
     static constexpr std::uint16_t none = 0xFFFF;
 
-    /// Position among the origin readers of the chunk, 0 first, or `none`.
+    /// Position among the origin readers of the chunk from 0, or `none`.
     std::uint16_t origin_rank = none;
-    /// Position among the agents of its data centre that may fetch the chunk
-    /// from another one, 0 first.
+    /// Position from 0 among the agents of its data centre that may fetch the
+    /// chunk from another data centre.
     std::uint16_t owner_rank = none;
 };
 
 /// Assignment of chunks, sources and neighbours for one agent and version.
 ///
-/// Every agent that knows the same members computes the same assignment;
-/// removing a member moves only what it was assigned.
+/// Agents with the same list of members compute the same assignment. Removing a
+/// member reassigns only its own chunks.
 class chunk_assignment {
   public:
     // ---- Construction ------------------------------------------------------
 
     /// Computes the assignment.
     ///
-    /// `silent_readers` names readers that others must stand in for.
+    /// `silent_readers` names the readers that backup readers replace.
     chunk_assignment(const distribution_strategy& strategy,
                      std::vector<swarm_member> members, const std::string& self,
                      const digest& version, std::uint32_t chunks,
@@ -72,12 +74,13 @@
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Agents that are told which chunks this agent has.
+    /// Returns the agents to which this agent announces its chunks.
     [[nodiscard]] const std::vector<std::string>& neighbours() const noexcept {
         return neighbours_;
     }
 
-    /// Agents that read from the origin, then those that stand in for them.
+    /// Returns the agents that read from the origin, followed by the backup
+    /// readers.
     [[nodiscard]] const std::vector<std::string>& readers() const noexcept {
         return readers_;
     }
@@ -85,8 +88,8 @@
     /// Returns true if this agent is among the `readers`.
     [[nodiscard]] bool is_reader() const noexcept { return is_reader_; }
 
-    /// Readers that read a chunk from the origin when nothing fails; those of
-    /// a higher rank stand in for them.
+    /// Returns the number of readers that read each chunk from the origin when
+    /// none fails; readers of a higher rank are their backups.
     [[nodiscard]] std::uint32_t origin_copies() const noexcept {
         return origin_copies_;
     }
@@ -96,7 +99,7 @@
         return roles_[index];
     }
 
-    /// Returns the owner of chunk `index` in each data centre but this one.
+    /// Returns the owner of chunk `index` in each other data centre.
     [[nodiscard]] std::vector<std::string>
     remote_owners(std::uint32_t index) const;
 
@@ -106,7 +109,7 @@
     /// Returns true if the strategy lets this agent fetch from `peer`.
     [[nodiscard]] bool may_fetch_from(const std::string& peer) const;
 
-    /// Returns true if agents stand in for a reader that fails.
+    /// Returns true if backup readers replace a failed reader.
     [[nodiscard]] bool has_backup_readers() const noexcept {
         return !has_fixed_sources_;
     }
@@ -138,8 +141,8 @@
     std::vector<std::size_t> active_readers_;
     std::vector<std::string> readers_;
     std::vector<std::string> neighbours_;
-    std::vector<std::string> sources_; ///< Tree: the parent alone.
-    bool has_fixed_sources_ = false;   ///< Only `sources_` may be asked.
+    std::vector<std::string> sources_; ///< Tree: only the parent.
+    bool has_fixed_sources_ = false;   ///< Fetches from `sources_` only.
     bool is_reader_ = false;
     std::uint32_t origin_copies_ = 1;
     std::uint32_t target_readers_ = 1;
--- a/include/ospreystage/requests/prompt_prefix.hpp
+++ b/include/ospreystage/requests/prompt_prefix.hpp
@@ -13,34 +13,36 @@
 
 namespace ospreystage {
 
-/// Bytes of a prompt that an engine caches as one block.
+/// Size in bytes of the prompt blocks that an engine caches.
 inline constexpr std::size_t prompt_block_bytes = 32;
 
 /// Returns the first block of the prompt of a chat request: the contents of
-/// its messages, joined by line ends. Empty if the prompt is shorter.
+/// its messages, joined by newlines. Empty if the prompt is shorter than a
+/// block or the request is malformed.
 [[nodiscard]] std::string first_prompt_block(const nlohmann::json& body);
 
-/// Returns the hash by which entries know a first block; 0 for an empty one.
+/// Returns the hash that entries use for a first block; 0 for an empty block.
 [[nodiscard]] std::uint64_t prefix_hash(const std::string& block);
 
-/// Returns the number of an engine's block hash (hexadecimal digits), or 0 if
-/// it is too short.
+/// Converts an engine's block hash (lower-case hexadecimal) to a number;
+/// returns 0 if it is too short or malformed.
 [[nodiscard]] std::uint64_t engine_block_number(const std::string& hash);
 
-/// Returns the number under which an engine caches a first block of `version`.
+/// Returns the number that identifies a first block in an engine's cache for
+/// `version`.
 [[nodiscard]] std::uint64_t engine_block_number(const digest& version,
                                                 const std::string& block);
 
-/// Translates the blocks that an engine caches into hashes that entries know.
+/// Maps the blocks that an engine caches to the hashes that entries use.
 ///
-/// An engine's hash can't be inverted, so only blocks of prompts that were
-/// noted are known. The oldest are forgotten beyond a fixed number.
+/// An engine's hash cannot be inverted, so only blocks of recorded prompts can
+/// be translated. Beyond a fixed number the oldest blocks are evicted.
 class prefix_map {
   public:
-    /// Notes the prompt of a request that is forwarded to the engine.
+    /// Records the prompt of a request that is forwarded to the engine.
     void record(const digest& version, const std::string& body);
 
-    /// Returns the entries' hashes of those `blocks` that are known.
+    /// Returns the hashes of those `blocks` that were recorded.
     [[nodiscard]] std::vector<std::uint64_t>
     translate(const std::vector<std::uint64_t>& blocks) const;
 
--- a/src/requests/admission.cpp
+++ b/src/requests/admission.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Weight of the latest service time in the moving average.
+/// Weight of the latest service time in the exponential moving average.
 constexpr double average_weight = 0.1;
 
 constexpr double milliseconds_per_second = 1000;
 
-/// Range of the time after which a refused caller comes back.
+/// Bounds of the retry delay that a rejected caller is given.
 constexpr milliseconds min_retry_after{50};
 constexpr milliseconds max_retry_after{5000};
 
--- a/src/requests/attempt_scheduler.cpp
+++ b/src/requests/attempt_scheduler.cpp
@@ -59,7 +59,7 @@
     return state;
 }
 
-// ---- What may be served ----------------------------------------------------
+// ---- Service ---------------------------------------------------------------
 
 attempt_scheduler::actions
 attempt_scheduler::set_service(scheduled_service service, instant now) {
@@ -194,8 +194,8 @@
 attempt_scheduler::actions
 attempt_scheduler::on_link_down(const process_id& entry, std::uint64_t epoch,
                                 instant now) {
-    // The entry may come back on a higher epoch: nothing is decided here, so
-    // that running attempts end whole. Deadlines bound what is left over.
+    // The entry may reconnect with a higher epoch. Running attempts continue,
+    // so that their answers complete; deadlines bound those that remain.
     static_cast<void>(entry);
     static_cast<void>(epoch);
     static_cast<void>(now);
@@ -216,9 +216,12 @@
         service_.engine && version != record->order.version;
     if (wrong_version || record->has_begun) {
         out.push_back(cancel_attempt{attempt});
-        fail_running(attempt, *record,
-                     wrong_version ? "version differs" : "answer began twice",
-                     now, out);
+        fail_running(
+            attempt, *record,
+            wrong_version
+                ? "back end answered with a version other than the ordered one"
+                : "back end started its answer twice",
+            now, out);
         return out;
     }
     record->has_begun = true;
@@ -236,7 +239,9 @@
         return out;
     if (!record->has_begun) {
         out.push_back(cancel_attempt{attempt});
-        fail_running(attempt, *record, "part before begin", now, out);
+        fail_running(attempt, *record,
+                     "answer part received before the head of the answer", now,
+                     out);
         return out;
     }
     send_frame(*record,
@@ -252,7 +257,8 @@
     if (record == nullptr)
         return out;
     if (!record->has_begun) {
-        fail_running(attempt, *record, "end before begin", now, out);
+        fail_running(attempt, *record,
+                     "answer ended before its head was received", now, out);
         return out;
     }
     send_frame(*record, answer_end{attempt, record->part_count}, out);
--- a/src/requests/attempt_scheduler_details.cpp
+++ b/src/requests/attempt_scheduler_details.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// Time after its deadline for which a finished attempt is remembered.
+/// Time for which the record of a finished attempt is retained after its
+/// deadline.
 constexpr milliseconds history_retention{10'000};
 
-/// Attempts remembered at once; beyond it new ones are refused.
+/// Maximum number of attempt records; beyond it new attempts are refused.
 constexpr std::size_t max_history = 50'000;
 
-/// Bytes of kept answers of all non-idempotent attempts together.
+/// Maximum bytes of retained answers over all non-idempotent attempts.
 constexpr std::size_t max_retained_bytes = 32 * 1024 * 1024;
 
-/// Time a caller waits after a full queue before it comes back.
+/// Retry delay that is sent with a refusal because of a full queue.
 constexpr milliseconds overload_retry_after{250};
 
 std::size_t frame_bytes(const message& frame) {
@@ -29,6 +30,7 @@
 }
 
 } // namespace
+
 // ---- Details ---------------------------------------------------------------
 
 std::optional<refusal>
@@ -243,7 +245,9 @@
         return;
     if (!record.is_answer_retained) {
         out.push_back(send_to_entry{
-            attempt.entry, run_failed{attempt, "answer was not kept"}});
+            attempt.entry,
+            run_failed{attempt, "answer not retained: memory limit for "
+                                "retained answers reached"}});
         return;
     }
     for (const message& frame : record.answer)
--- a/src/requests/attempt_service.cpp
+++ b/src/requests/attempt_service.cpp
@@ -160,7 +160,8 @@
     load_report report;
     report.agent = links_.self();
     report.service = service_.name;
-    // The back end's own figures lag; nothing but this scheduler gives it work.
+    // Uses the scheduler's counts: the load that the back end reports lags, and
+    // all its work comes from this scheduler.
     report.running = scheduler_.running();
     report.queued = scheduler_.queued();
     report.capacity = configuration_.backend_server.capacity;
--- a/src/requests/back_end.cpp
+++ b/src/requests/back_end.cpp
@@ -18,13 +18,13 @@
 
 constexpr const char* service_name = "back_end";
 constexpr milliseconds connect_timeout{500};
-/// A back end that sends nothing for this long is taken for silent.
+/// A streaming call fails if the back end sends nothing for this long.
 constexpr milliseconds silence_timeout{4000};
 constexpr milliseconds silence_check_interval{100};
 constexpr absl::string_view stream_end = "data: [DONE]";
 constexpr std::string_view scheme = "http://";
 
-/// Returns the request body with the fields that the agent adds.
+/// Returns the request body with the fields that the agent sets.
 std::string engine_body(const run_order& order) {
     nlohmann::json body = nlohmann::json::parse(order.body, nullptr, false);
     if (!body.is_object())
@@ -51,12 +51,13 @@
     return request;
 }
 
-/// Statuses with which a back end says that it did not run the request.
+/// Returns true for a status by which an engine signals that it did not run
+/// the request.
 bool is_refusal(std::uint16_t status) {
     return status == 404 || status == 429 || status == 503;
 }
 
-/// Returns the address of `http://host:port`; a name is looked up once.
+/// Returns the address of `http://host:port`; a host name is resolved once.
 address resolve(const std::string& url) {
     const auto parsed = parse_address(url.substr(scheme.size()));
     if (!parsed)
@@ -97,8 +98,9 @@
     call_options options;
     options.connect_timeout = connect_timeout;
     options.timeout = deadline;
-    // A kept connection may be closed by the server just when it is used
-    // again, and then nobody knows whether the request ran.
+    // The server may close an idle connection at the moment of its reuse; it is
+    // then unknown whether the request ran. Requests with a key must not run
+    // twice, so each gets a connection of its own.
     options.reuse = order.idempotency_key.empty();
     call_handlers handlers;
     handlers.head = [this, attempt](const http_response& head) {
@@ -139,7 +141,7 @@
         receiver_(attempt, back_end_part{std::string(data)});
         return;
     }
-    // The receiver may end the call, and with it the splitter.
+    // The receiver may cancel the call, which destroys the splitter.
     const std::vector<stream_event> events = current.splitter.feed(data);
     for (const stream_event& event : events) {
         const auto found = running_.find(attempt);
@@ -162,10 +164,14 @@
         receiver_(attempt, back_end_failed{end != call_end::not_connected,
                                            to_string(end)});
     else if (refused != 0)
-        receiver_(attempt, back_end_failed{false, "refused with status " +
-                                                      std::to_string(refused)});
+        receiver_(
+            attempt,
+            back_end_failed{false, "back end refused the request with status " +
+                                       std::to_string(refused)});
     else if (is_truncated)
-        receiver_(attempt, back_end_failed{true, "stream ended early"});
+        receiver_(attempt,
+                  back_end_failed{
+                      true, "stream truncated: ended before its [DONE] event"});
     else
         receiver_(attempt, back_end_end{});
 }
--- a/src/requests/balancer.cpp
+++ b/src/requests/balancer.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-/// Age at which half of the other entries' reported load still counts.
+/// Age at which the reported load of other entries counts half.
 constexpr milliseconds load_half_life{500};
 
-/// Share of a capacity that a cached prompt prefix is worth.
+/// Reduction of the score for a cached prompt prefix, as a fraction of the
+/// capacity.
 constexpr double prefix_bonus = 0.25;
 
-/// Percentages add up to this.
+/// Sum of all percentages.
 constexpr std::uint32_t total_percent = 100;
 
-/// Hexadecimal digits of a digest that make a 32-bit number.
+/// Hexadecimal digits of a digest that form a 32-bit number.
 constexpr std::size_t hash_digits = 8;
 
 constexpr int hexadecimal = 16;
--- a/src/requests/caller_api.cpp
+++ b/src/requests/caller_api.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr const char* service_name = "callers";
-/// A caller that has read nothing for this long is taken for gone; a usual
-/// bound for writes to a network peer.
+/// Timeout after which a caller that does not read its answer is disconnected;
+/// a usual limit for writes to a network peer.
 constexpr seconds max_unread_time{5};
 constexpr milliseconds unread_check_interval{250};
 constexpr const char* default_organisation = "default";
@@ -58,7 +58,8 @@
     return refusal_response(refusal);
 }
 
-/// Answers a request that could not be read: it was not run.
+/// Returns the response to a request that could not be read; its outcome is
+/// `not-run`.
 http_response unreadable_response(std::uint16_t status,
                                   const std::string& reason,
                                   const std::string& target) {
@@ -86,7 +87,7 @@
     out.body = request.message.body;
 }
 
-/// Reads a chat request; returns false if its form is wrong.
+/// Parses a chat request; returns false if it is malformed.
 bool read_chat(const api_request& request, incoming_request& out) {
     const auto body =
         nlohmann::json::parse(request.message.body, nullptr, false);
@@ -285,7 +286,7 @@
         return;
     const request_id id = found->second;
     close(id);
-    // Posted, since the broker may still be carrying out its actions.
+    // Posted, since the broker may still be performing its actions.
     core_.post(service_name, [this, id] { dependencies_.cancel(id); });
 }
 
--- a/src/requests/chunk_assignment.cpp
+++ b/src/requests/chunk_assignment.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Readers of a data centre at least.
+/// Minimum number of readers per data centre.
 constexpr std::size_t min_readers_per_data_centre = 2;
-/// Agents that may stand in for a reader, per reader.
+/// Backup readers per reader.
 constexpr std::size_t backups_per_reader = 1;
 constexpr std::size_t local_neighbours = 18;
 constexpr std::size_t remote_neighbours = 6;
@@ -204,7 +204,7 @@
     std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         return weight(a, index) > weight(b, index);
     });
-    // The best reader of every data centre comes before second ones.
+    // The first reader of every data centre precedes all further readers.
     std::vector<bool> seen(data_centre_count_, false);
     std::vector<std::size_t> first;
     std::vector<std::size_t> second;
--- a/src/requests/prompt_prefix.cpp
+++ b/src/requests/prompt_prefix.cpp
@@ -4,12 +4,13 @@
 
 namespace {
 
+/// Maximum number of recorded blocks; the oldest are evicted.
 constexpr std::size_t max_prefixes = 4096;
 
 /// Hexadecimal digits of an engine's block hash.
 constexpr std::size_t engine_hash_digits = 16;
 
-/// Hexadecimal digits of a hash that make its number.
+/// Hexadecimal digits of a hash that form its number.
 constexpr std::size_t number_digits = 15;
 
 constexpr int hexadecimal = 16;
--- a/tests/admission.cpp
+++ b/tests/admission.cpp
@@ -36,7 +36,7 @@
     return std::get<admission_refused>(decision);
 }
 
-/// Makes the pool's average service time `took`.
+/// Sets the average service time of the pool to `took`.
 void set_average_service_time(admission& value, milliseconds took) {
     const admission_ticket sample{
         1'000'000, "sample", "pool", "desk", 0, start + milliseconds{30'000}};
@@ -68,7 +68,7 @@
           "rate_limited");
 }
 
-TEST_CASE("admission - slots bound what is in progress") {
+TEST_CASE("admission - slots bound the running requests") {
     admission value(100);
     value.set_slots("pool", 1);
     CHECK(granted(value.admit(ticket(1, "board"), start)));
@@ -80,7 +80,7 @@
     CHECK(value.size() == 0);
 }
 
-TEST_CASE("admission - more slots start what waits") {
+TEST_CASE("admission - more slots start queued requests") {
     admission value(100);
     value.set_slots("pool", 1);
     CHECK(granted(value.admit(ticket(1, "board"), start)));
@@ -107,7 +107,8 @@
         static_cast<void>(value.admit(ticket(next++, "tokachi"), start));
         static_cast<void>(value.admit(ticket(next++, "board"), start));
     }
-    // The first 40 are half and half; each end then starts who is due.
+    // The first 40 slots are split evenly. Each end then starts a request of
+    // the organisation with the lowest usage for its weight.
     std::map<bool, int> running{{true, 20}, {false, 20}};
     std::vector<request_id> active;
     for (request_id id = 1; id <= 40; ++id)
@@ -147,7 +148,7 @@
     CHECK(value.take_startable(start) == std::vector<request_id>{3});
 }
 
-TEST_CASE("admission - what cannot be served in time is refused early") {
+TEST_CASE("admission - a request that would miss its deadline is refused") {
     admission value(100);
     set_average_service_time(value, milliseconds{1000});
     value.set_slots("pool", 1);
@@ -160,7 +161,8 @@
     CHECK(queued(value.admit(ticket(4, "board"), start)));
 }
 
-TEST_CASE("admission - a waiting request is given up before its deadline") {
+TEST_CASE(
+    "admission - a queued request that would miss its deadline is dropped") {
     admission value(100);
     set_average_service_time(value, milliseconds{1000});
     value.set_slots("pool", 1);
@@ -174,7 +176,7 @@
     CHECK(value.size() == 0);
 }
 
-TEST_CASE("admission - a slow class does not shut out a quick one") {
+TEST_CASE("admission - a slow class does not cause refusals of a fast one") {
     admission value(100);
     set_average_service_time(value, milliseconds{20'000});
     value.set_slots("pool", 1);
--- a/tests/attempt_scheduler.cpp
+++ b/tests/attempt_scheduler.cpp
@@ -86,7 +86,8 @@
           refusal::wrong_incarnation);
 }
 
-TEST_CASE("attempt scheduler - only versions that the engine holds pass") {
+TEST_CASE(
+    "attempt scheduler - only versions that the engine holds are accepted") {
     attempt_scheduler value = make_serving_scheduler();
     run_order order = order_of(1);
     order.version = version_b;
@@ -107,7 +108,7 @@
 }
 
 TEST_CASE(
-    "attempt scheduler - a full queue refuses and the refused never starts") {
+    "attempt scheduler - an attempt refused by a full queue never starts") {
     attempt_scheduler value = make_serving_scheduler(1, 1);
     CHECK(actions_of_type<start_attempt>(
               value.on_run_order(entry, 1, order_of(1), start))
@@ -121,7 +122,8 @@
           refusal::sealed);
 }
 
-TEST_CASE("attempt scheduler - an order delayed behind its seal never runs") {
+TEST_CASE(
+    "attempt scheduler - an order that arrives after its seal never runs") {
     attempt_scheduler value = make_serving_scheduler();
     const auto sealed = value.on_seal_order(entry, {{entry, 1}}, start);
     CHECK(refusal_of(sealed) == refusal::sealed);
@@ -141,7 +143,7 @@
     CHECK(sent<run_refused>(actions).empty());
 }
 
-TEST_CASE("attempt scheduler - orders of an earlier epoch are void after a "
+TEST_CASE("attempt scheduler - orders of an earlier epoch are refused after a "
           "reconnect") {
     attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_link_up(entry, 2, start));
@@ -185,7 +187,7 @@
 }
 
 TEST_CASE(
-    "attempt scheduler - a kept answer is sent again from its first part") {
+    "attempt scheduler - a retained answer is resent from its first part") {
     attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(
         value.on_run_order(entry, 1, non_idempotent_order(1), start));
@@ -204,8 +206,7 @@
     CHECK(sent<answer_end>(result.actions_after_hello).front().parts == 2);
 }
 
-TEST_CASE("attempt scheduler - a restarted entry with the same sequences "
-          "starts anew") {
+TEST_CASE("attempt scheduler - a restarted entry may reuse sequences") {
     attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 5, order_of(1), start));
     const process_id restarted{"entry-1", 4};
@@ -220,7 +221,7 @@
           refusal::stale_epoch);
 }
 
-TEST_CASE("attempt scheduler - an answer of another version is not passed on") {
+TEST_CASE("attempt scheduler - an answer of another version is not forwarded") {
     attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto actions =
@@ -231,8 +232,8 @@
     CHECK(value.on_part({entry, 1}, "late", start).empty());
 }
 
-TEST_CASE("attempt scheduler - a version that goes away refuses what is queued "
-          "for it") {
+TEST_CASE("attempt scheduler - removing a version refuses attempts that are "
+          "queued for it") {
     attempt_scheduler value = make_serving_scheduler(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
@@ -243,7 +244,8 @@
     CHECK(value.running() == 1);
 }
 
-TEST_CASE("attempt scheduler - a drain refuses new work and ends what it has") {
+TEST_CASE(
+    "attempt scheduler - a drain refuses new attempts and completes others") {
     attempt_scheduler value = make_serving_scheduler(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     static_cast<void>(value.on_run_order(entry, 1, order_of(2), start));
@@ -261,8 +263,7 @@
     CHECK(value.idle());
 }
 
-TEST_CASE(
-    "attempt scheduler - a back end that was not reached seals the attempt") {
+TEST_CASE("attempt scheduler - an unreachable back end seals the attempt") {
     attempt_scheduler value = make_serving_scheduler();
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
     const auto refused =
@@ -285,7 +286,7 @@
     CHECK(value.running() == 1);
 }
 
-TEST_CASE("attempt scheduler - an attempt past its deadline is stopped and "
+TEST_CASE("attempt scheduler - an attempt past its deadline is cancelled and "
           "reported") {
     attempt_scheduler value = make_serving_scheduler(1, 2);
     static_cast<void>(value.on_run_order(entry, 1, order_of(1), start));
--- a/tests/back_end.cpp
+++ b/tests/back_end.cpp
@@ -17,7 +17,7 @@
 
 constexpr seconds test_timeout{8};
 
-/// What one call told the agent.
+/// Events of one call.
 struct call_record {
     std::vector<back_end_event> events;
     [[nodiscard]] bool has_ended() const {
@@ -51,7 +51,7 @@
     return order;
 }
 
-/// Runs one call to its end; `cancel_after` parts it is cancelled.
+/// Runs one call to its end; cancels it after `cancel_after` events.
 call_record run_call(const std::string& url, const run_order& order,
                      milliseconds deadline = seconds(5),
                      std::size_t cancel_after = 1000) {
@@ -116,7 +116,7 @@
     const std::string refusal =
         "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy";
     CHECK_FALSE(run_scripted({refusal}).failure().reached);
-    // Of a plain service it is the service's own answer.
+    // For a plain service the status is part of the service's answer.
     run_order plain = engine_order();
     plain.version.clear();
     plain.stream = false;
@@ -125,7 +125,7 @@
     CHECK(record.parts() == "busy|");
 }
 
-TEST_CASE("back end - a server that cannot be reached has not run it") {
+TEST_CASE("back end - an unreachable server has not run the request") {
     std::string url;
     {
         const scripted_server gone(
@@ -135,7 +135,7 @@
     CHECK_FALSE(run_call(url, engine_order()).failure().reached);
 }
 
-TEST_CASE("back end - an answer that is cut may have run") {
+TEST_CASE("back end - a request with a truncated answer may have run") {
     const scripted_answer truncated = {
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort", true};
     CHECK(run_scripted(truncated).failure().reached);
@@ -143,7 +143,7 @@
     CHECK(run_scripted(none).failure().reached);
 }
 
-TEST_CASE("back end - a stream that falls silent fails before its deadline") {
+TEST_CASE("back end - a stream that stops sending fails before its deadline") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
@@ -156,7 +156,7 @@
     CHECK(steady::now() - began < seconds(6));
 }
 
-TEST_CASE("back end - a call that is cancelled fails and frees its server") {
+TEST_CASE("back end - a cancelled call fails") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
@@ -168,7 +168,7 @@
     CHECK(record.failure().detail == "cancelled");
 }
 
-TEST_CASE("back end - only requests without a key use kept connections") {
+TEST_CASE("back end - only requests without a key reuse connections") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"};
@@ -204,7 +204,7 @@
     CHECK(server.connections() == 3);
 }
 
-TEST_CASE("back end - a host name is looked up") {
+TEST_CASE("back end - a host name is resolved") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"};
--- a/tests/balancer.cpp
+++ b/tests/balancer.cpp
@@ -35,7 +35,7 @@
     return value;
 }
 
-/// Shares of 10000 requests by deployment name.
+/// Returns how many of 10000 requests each deployment gets, by name.
 std::map<std::string, int> shares(const rollout_document& document,
                                   const std::string& organisation) {
     std::map<std::string, int> count;
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("balancer - no candidate, no choice") {
+TEST_CASE("balancer - no candidates give no choice") {
     balancer value("two_choice", 1);
     CHECK_FALSE(value.choose({}).has_value());
 }
@@ -74,7 +74,8 @@
     CHECK(load_score(value) == Approx(4.0 / 16));
 }
 
-TEST_CASE("balancer - a cached prefix is a bonus and never a must") {
+TEST_CASE(
+    "balancer - a cached prefix is preferred unless the agent is loaded") {
     balancer value("two_choice", 1);
     std::vector<balancer_candidate> agents;
     for (const std::string& name : names("vm", 8))
@@ -149,7 +150,7 @@
     CHECK(agent_subset("unknown", entries, agents, 24).size() == 24);
 }
 
-TEST_CASE("balancer - one agent more changes little of a subset") {
+TEST_CASE("balancer - an added agent changes few members of a subset") {
     const auto entries = names("entry", 8);
     const auto before =
         agent_subset("entry-003", entries, names("vm", 190), 24);
@@ -170,7 +171,7 @@
     CHECK(count["new"] + count["old"] == 10'000);
 }
 
-TEST_CASE("balancer - what the percentages leave goes to the highest") {
+TEST_CASE("balancer - the highest percentage also gets the remainder") {
     rollout_document document;
     document.deployments = {deployment_with_rule("new", "*", 10),
                             deployment_with_rule("old", "*", 30)};
@@ -179,7 +180,7 @@
     CHECK(count["new"] + count["old"] == 10'000);
 }
 
-TEST_CASE("balancer - an organisation's own rule wins over the general one") {
+TEST_CASE("balancer - an organisation's own rule overrides the general one") {
     rollout_document document;
     deployment trial = deployment_with_rule("trial", "*", 0);
     trial.traffic.push_back({"board", 100});
@@ -189,7 +190,7 @@
     CHECK(shares(document, "tokachi")["old"] == 10'000);
 }
 
-TEST_CASE("balancer - traffic that no rule allows has no deployment") {
+TEST_CASE("balancer - an organisation without a rule has no deployment") {
     rollout_document document;
     document.deployments = {deployment_with_rule("new", "board", 100)};
     CHECK(choose_deployments(document, "pool", "tokachi", 1).empty());
--- a/tests/caller_api.cpp
+++ b/tests/caller_api.cpp
@@ -32,7 +32,7 @@
                        body.size(), body);
 }
 
-/// Callers' interface over a request service that does what a test says.
+/// A `caller_api` whose request service is driven by the test.
 class api_fixture {
   public:
     api_fixture()
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("caller api - a stream is passed on as it arrives") {
+TEST_CASE("caller api - a stream is forwarded as it arrives") {
     api_fixture api;
     running_kernel running(api.core);
     raw_connection caller(api.local);
@@ -102,7 +102,7 @@
     CHECK(running.ask([&] { return api.callers.size(); }) == 0);
 }
 
-TEST_CASE("caller api - a refusal within a stream is an event without an end") {
+TEST_CASE("caller api - a refusal within a stream is its last event") {
     api_fixture api;
     running_kernel running(api.core);
     raw_connection caller(api.local);
@@ -116,7 +116,7 @@
     CHECK_FALSE(contains(answer, "[DONE]"));
 }
 
-TEST_CASE("caller api - a stream of another type is broken off") {
+TEST_CASE("caller api - a failed stream of another type is aborted") {
     api_fixture api;
     running_kernel running(api.core);
     raw_connection caller(api.local);
@@ -143,7 +143,7 @@
     CHECK(api.last.non_idempotent);
 }
 
-TEST_CASE("caller api - each refusal has its status, outcome and time") {
+TEST_CASE("caller api - each refusal has its status, outcome and retry time") {
     api_fixture api;
     running_kernel running(api.core);
     const std::map<std::string, std::string> statuses = {
@@ -168,7 +168,7 @@
     }
 }
 
-TEST_CASE("caller api - every request has an outcome after the end") {
+TEST_CASE("caller api - every request has an outcome after abandon_all") {
     api_fixture api;
     running_kernel running(api.core);
     raw_connection open(api.local);
@@ -187,7 +187,7 @@
     CHECK(api.begun == 1);
 }
 
-TEST_CASE("caller api - a caller that goes away cancels its request") {
+TEST_CASE("caller api - a caller that disconnects cancels its request") {
     api_fixture api;
     running_kernel running(api.core);
     {
@@ -200,7 +200,7 @@
     CHECK(running.ask([&] { return api.callers.size(); }) == 0);
 }
 
-TEST_CASE("caller api - a caller that does not read is given up") {
+TEST_CASE("caller api - a caller that does not read is disconnected") {
     api_fixture api;
     running_kernel running(api.core);
     raw_connection caller(api.local, 4096);
--- a/tests/chunk_assignment.cpp
+++ b/tests/chunk_assignment.cpp
@@ -55,7 +55,8 @@
                       [](const auto& owner) { return owner.second == 1; }));
 }
 
-TEST_CASE("chunk assignment - remote owners are those that own the chunk") {
+TEST_CASE(
+    "chunk assignment - remote owners own the chunk in their data centre") {
     const auto members = make_members(12);
     const chunk_assignment roles = assign(members, "agent-0");
     for (std::uint32_t index = 0; index < chunks; ++index) {
@@ -68,7 +69,8 @@
     }
 }
 
-TEST_CASE("chunk assignment - a removed member moves only its own chunks") {
+TEST_CASE(
+    "chunk assignment - removing a member reassigns only its own chunks") {
     const auto members = make_members(24);
     auto fewer = members;
     fewer.erase(fewer.begin() + 5);
@@ -81,7 +83,8 @@
     }
 }
 
-TEST_CASE("chunk assignment - neighbours stay few at 600 members") {
+TEST_CASE(
+    "chunk assignment - the number of neighbours is bounded at 600 members") {
     const auto members = make_members(600);
     const chunk_assignment roles = assign(members, "agent-17");
     CHECK(roles.neighbours().size() == 24);
@@ -100,7 +103,8 @@
     CHECK_FALSE(roles.may_fetch_from("agent-1"));
 }
 
-TEST_CASE("chunk assignment - a tree has one root and asks the parent alone") {
+TEST_CASE(
+    "chunk assignment - a tree has one root and fetches from the parent only") {
     const auto members = make_members(7);
     int roots = 0;
     for (const swarm_member& member : members) {
--- a/tests/prompt_prefix.cpp
+++ b/tests/prompt_prefix.cpp
@@ -16,14 +16,14 @@
     return {{"model", "desk-llm"}, {"messages", messages}};
 }
 
-/// Number of the block as the engine's cache events name it.
+/// Returns the number of a block as in the cache events of an engine.
 std::uint64_t engine_number(const std::string& text) {
     return engine_block_number(sha256(version + text).substr(0, 16));
 }
 
 } // namespace
 
-TEST_CASE("prompt prefix - it is the start of all messages") {
+TEST_CASE("prompt prefix - the first block starts the joined messages") {
     CHECK(first_prompt_block(chat({block + "rest"})) == block);
     CHECK(first_prompt_block(chat({"short", block})) ==
           "short\n" + block.substr(0, 26));
@@ -32,7 +32,7 @@
     CHECK(prefix_hash("") == 0);
 }
 
-TEST_CASE("prompt prefix - an engine's block gets the hash that entries know") {
+TEST_CASE("prompt prefix - an engine's block maps to the hash of entries") {
     prefix_map known;
     known.record(version, chat({block + "rest"}).dump());
     const auto found = known.translate({1, engine_number(block)});
@@ -41,7 +41,7 @@
           prefix_hash(first_prompt_block(chat({block + "another"}))));
 }
 
-TEST_CASE("prompt prefix - a malformed prompt or hash is passed over") {
+TEST_CASE("prompt prefix - malformed prompts and hashes are ignored") {
     prefix_map known;
     known.record(version, "not json");
     known.record(version, chat({"short"}).dump());
