--- a/src/requests/back_end.cpp
+++ b/src/requests/back_end.cpp
@@ -18,13 +18,13 @@
 
 constexpr const char* service_name = "back_end";
 constexpr milliseconds connect_timeout{500};
-/// A back end that sends nothing for this long is taken for silent.
+/// A streaming call fails if the back end sends nothing for this long.
 constexpr milliseconds silence_timeout{4000};
 constexpr milliseconds silence_check_interval{100};
 constexpr absl::string_view stream_end = "data: [DONE]";
 constexpr std::string_view scheme = "http://";
 
-/// Returns the request body with the fields that the agent adds.
+/// Returns the request body with the fields that the agent sets.
 std::string engine_body(const run_order& order) {
     nlohmann::json body = nlohmann::json::parse(order.body, nullptr, false);
     if (!body.is_object())
@@ -51,31 +51,32 @@
     return request;
 }
 
-/// Statuses with which a back end says that it did not run the request.
+/// Returns true for a status by which an engine signals that it did not run
+/// the request.
 bool is_refusal(std::uint16_t status) {
     return status == 404 || status == 429 || status == 503;
 }
 
-/// Returns the address of `http://host:port`; a name is looked up once.
+/// Returns the address of `http://host:port`; a host name is resolved once.
 address resolve(const std::string& url) {
-    const auto named = parse_address(url.substr(scheme.size()));
-    if (!named)
+    const auto parsed = parse_address(url.substr(scheme.size()));
+    if (!parsed)
         return {};
-    addrinfo wanted{};
-    wanted.ai_family = AF_INET;
-    wanted.ai_socktype = SOCK_STREAM;
+    addrinfo hints{};
+    hints.ai_family = AF_INET;
+    hints.ai_socktype = SOCK_STREAM;
     addrinfo* found = nullptr;
     const int status =
-        getaddrinfo(named->host.c_str(), nullptr, &wanted, &found);
+        getaddrinfo(parsed->host.c_str(), nullptr, &hints, &found);
     if (status != 0) {
         log_event(log_level::error, "back_end_name_unknown",
                   {{"url", url}, {"error", gai_strerror(status)}});
-        return *named;
+        return *parsed;
     }
     address result = from_socket_address(
         *reinterpret_cast<const sockaddr_in*>(found->ai_addr));
     freeaddrinfo(found);
-    result.port = named->port;
+    result.port = parsed->port;
     return result;
 }
 
@@ -84,20 +85,22 @@
 back_end::back_end(kernel& core, std::string url, callback receiver)
     : core_(core), url_(std::move(url)), server_(resolve(url_)),
       receiver_(std::move(receiver)), client_(core) {
-    core_.every(service_name, silence_check_interval, [this] { end_silent(); });
+    core_.every(service_name, silence_check_interval,
+                [this] { fail_silent_calls(); });
 }
 
 void back_end::start(const run_order& order, milliseconds deadline) {
     const attempt_id attempt = order.attempt;
     running_call& current = running_[attempt];
-    current.may_refuse = !order.version.empty();
-    current.wants_stream = order.stream;
-    current.last_heard = steady::now();
+    current.refusal_means_not_run = !order.version.empty();
+    current.stream_requested = order.stream;
+    current.last_received = steady::now();
     call_options options;
     options.connect_timeout = connect_timeout;
     options.timeout = deadline;
-    // A kept connection may be closed by the server just when it is used
-    // again, and then nobody knows whether the request ran.
+    // The server may close an idle connection at the moment of its reuse; it is
+    // then unknown whether the request ran. Requests with a key must not run
+    // twice, so each gets a connection of its own.
     options.reuse = order.idempotency_key.empty();
     call_handlers handlers;
     handlers.head = [this, attempt](const http_response& head) {
@@ -117,8 +120,8 @@
 
 void back_end::on_head(const attempt_id& attempt, const http_response& head) {
     running_call& current = running_.at(attempt);
-    current.last_heard = steady::now();
-    if (current.may_refuse && is_refusal(head.status)) {
+    current.last_received = steady::now();
+    if (current.refusal_means_not_run && is_refusal(head.status)) {
         current.refused_status = head.status;
         return;
     }
@@ -131,21 +134,21 @@
 
 void back_end::on_body(const attempt_id& attempt, std::string_view data) {
     running_call& current = running_.at(attempt);
-    current.last_heard = steady::now();
+    current.last_received = steady::now();
     if (current.refused_status != 0)
         return;
     if (!current.is_event_stream) {
         receiver_(attempt, back_end_part{std::string(data)});
         return;
     }
-    // The receiver may end the call, and with it the splitter.
+    // The receiver may cancel the call, which destroys the splitter.
     const std::vector<stream_event> events = current.splitter.feed(data);
     for (const stream_event& event : events) {
         const auto found = running_.find(attempt);
         if (found == running_.end())
             return;
         if (absl::StripTrailingAsciiWhitespace(event.text) == stream_end)
-            found->second.has_stream_end = true;
+            found->second.stream_complete = true;
         else
             receiver_(attempt, back_end_part{event.text});
     }
@@ -154,17 +157,21 @@
 void back_end::on_ended(const attempt_id& attempt, call_end end) {
     const auto found = running_.find(attempt);
     const std::uint16_t refused = found->second.refused_status;
-    const bool is_short =
-        found->second.is_event_stream && !found->second.has_stream_end;
+    const bool is_truncated =
+        found->second.is_event_stream && !found->second.stream_complete;
     running_.erase(found);
     if (end != call_end::complete)
         receiver_(attempt, back_end_failed{end != call_end::not_connected,
                                            to_string(end)});
     else if (refused != 0)
-        receiver_(attempt, back_end_failed{false, "refused with status " +
-                                                      std::to_string(refused)});
-    else if (is_short)
-        receiver_(attempt, back_end_failed{true, "stream ended early"});
+        receiver_(
+            attempt,
+            back_end_failed{false, "back end refused the request with status " +
+                                       std::to_string(refused)});
+    else if (is_truncated)
+        receiver_(attempt,
+                  back_end_failed{
+                      true, "stream truncated: ended before its [DONE] event"});
     else
         receiver_(attempt, back_end_end{});
 }
@@ -181,11 +188,12 @@
                });
 }
 
-void back_end::end_silent() {
+void back_end::fail_silent_calls() {
     const instant now = steady::now();
     std::vector<attempt_id> silent;
     for (const auto& [attempt, current] : running_)
-        if (current.wants_stream && now - current.last_heard > silence_timeout)
+        if (current.stream_requested &&
+            now - current.last_received > silence_timeout)
             silent.push_back(attempt);
     for (const attempt_id& attempt : silent)
         fail(attempt, {true, "silent"});
--- a/src/requests/broker_dispatch.cpp
+++ b/src/requests/broker_dispatch.cpp
@@ -162,7 +162,7 @@
         if (agent.reported) {
             const auto& prefixes = agent.load.prefixes;
             candidate.reported = agent.load.running + agent.load.queued;
-            candidate.outstanding_then = agent.outstanding_at_report;
+            candidate.outstanding_at_report = agent.outstanding_at_report;
             candidate.capacity = agent.load.capacity;
             candidate.age = load_age(agent, now);
             candidate.has_prefix =
@@ -191,7 +191,7 @@
         const std::uint32_t others =
             reported - std::min(reported, agent.outstanding_at_report);
         const auto weighted = static_cast<std::uint32_t>(
-            others * load_weight(load_age(agent, now)));
+            others * report_weight(load_age(agent, now)));
         const std::uint32_t max_slots = capacity + capacity / 4;
         const std::uint32_t available =
             max_slots - std::min(max_slots, weighted);
--- a/src/requests/broker_state.cpp
+++ b/src/requests/broker_state.cpp
@@ -146,7 +146,7 @@
     const admission_ticket ticket{request,        state.incoming.organisation,
                                   target->name,   state.incoming.request_class,
                                   state.priority, state.deadline};
-    const admission_decision decision = admission_.offer(ticket, now);
+    const admission_decision decision = admission_.admit(ticket, now);
     if (const auto* refused = std::get_if<admission_refused>(&decision))
         return refuse(request, early_outcome, refused->reason,
                       refused->retry_after, now);
@@ -166,7 +166,7 @@
 void broker_state::admit_waiting(instant now) {
     for (const auto& [name, names] : subsets_)
         admission_.set_slots(name, slot_count(name, now));
-    for (const request_id id : admission_.take_hopeless(now))
+    for (const request_id id : admission_.take_unservable(now))
         fail_request(id, "overloaded", now);
     for (const request_id id : admission_.take_startable(now))
         start_request(id, now);
--- a/tests/back_end.cpp
+++ b/tests/back_end.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr seconds patience{8};
+constexpr seconds test_timeout{8};
 
-/// What one call told the agent.
+/// Events of one call.
 struct call_record {
     std::vector<back_end_event> events;
     [[nodiscard]] bool has_ended() const {
@@ -51,7 +51,7 @@
     return order;
 }
 
-/// Runs one call to its end; `cancel_after` parts it is cancelled.
+/// Runs one call to its end; cancels it after `cancel_after` events.
 call_record run_call(const std::string& url, const run_order& order,
                      milliseconds deadline = seconds(5),
                      std::size_t cancel_after = 1000) {
@@ -70,7 +70,7 @@
     calls = &server;
     core.after("test", std::chrono::nanoseconds(0),
                [&] { server.start(order, deadline); });
-    core.after("test", patience, [&core] { core.stop(); });
+    core.after("test", test_timeout, [&core] { core.stop(); });
     core.run();
     REQUIRE(record.has_ended());
     return record;
@@ -86,7 +86,7 @@
     return run_call(url_of(server), order);
 }
 
-scripted_answer events_of(const std::string& body) {
+scripted_answer stream_answer(const std::string& body) {
     return {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             "X-Model-Version: v1\r\nConnection: close\r\n\r\n" +
                 body,
@@ -97,7 +97,7 @@
 
 TEST_CASE("back end - a stream is delivered event by event") {
     const call_record record =
-        run_scripted(events_of("data: 1\n\ndata: 2\n\ndata: [DONE]\n\n"));
+        run_scripted(stream_answer("data: 1\n\ndata: 2\n\ndata: [DONE]\n\n"));
     const auto& begin = std::get<back_end_begin>(record.events.front());
     CHECK(begin.status == 200);
     CHECK(begin.version == "v1");
@@ -106,7 +106,8 @@
 }
 
 TEST_CASE("back end - a stream without its last event has failed") {
-    const call_record record = run_scripted(events_of("data: 1\n\ndata: 2\n"));
+    const call_record record =
+        run_scripted(stream_answer("data: 1\n\ndata: 2\n"));
     CHECK(record.parts() == "data: 1\n\n|");
     CHECK(record.failure().reached);
 }
@@ -115,7 +116,7 @@
     const std::string refusal =
         "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy";
     CHECK_FALSE(run_scripted({refusal}).failure().reached);
-    // Of a plain service it is the service's own answer.
+    // For a plain service the status is part of the service's answer.
     run_order plain = engine_order();
     plain.version.clear();
     plain.stream = false;
@@ -124,7 +125,7 @@
     CHECK(record.parts() == "busy|");
 }
 
-TEST_CASE("back end - a server that cannot be reached has not run it") {
+TEST_CASE("back end - an unreachable server has not run the request") {
     std::string url;
     {
         const scripted_server gone(
@@ -134,15 +135,15 @@
     CHECK_FALSE(run_call(url, engine_order()).failure().reached);
 }
 
-TEST_CASE("back end - an answer that is cut may have run") {
-    const scripted_answer cut = {
+TEST_CASE("back end - a request with a truncated answer may have run") {
+    const scripted_answer truncated = {
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort", true};
-    CHECK(run_scripted(cut).failure().reached);
+    CHECK(run_scripted(truncated).failure().reached);
     const scripted_answer none = {"", true};
     CHECK(run_scripted(none).failure().reached);
 }
 
-TEST_CASE("back end - a stream that falls silent fails before its deadline") {
+TEST_CASE("back end - a stream that stops sending fails before its deadline") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
@@ -155,7 +156,7 @@
     CHECK(steady::now() - began < seconds(6));
 }
 
-TEST_CASE("back end - a call that is cancelled fails and frees its server") {
+TEST_CASE("back end - a cancelled call fails") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
@@ -167,7 +168,7 @@
     CHECK(record.failure().detail == "cancelled");
 }
 
-TEST_CASE("back end - only requests without a key use kept connections") {
+TEST_CASE("back end - only requests without a key reuse connections") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"};
@@ -190,7 +191,7 @@
                        });
         core.after("test", std::chrono::nanoseconds(0),
                    [&] { calls.start(order, seconds(5)); });
-        core.after("test", patience, [&core] { core.stop(); });
+        core.after("test", test_timeout, [&core] { core.stop(); });
         core.run();
         CHECK(ended == 2);
     };
@@ -203,7 +204,7 @@
     CHECK(server.connections() == 3);
 }
 
-TEST_CASE("back end - a host name is looked up") {
+TEST_CASE("back end - a host name is resolved") {
     const scripted_server server([](const std::string&) {
         return scripted_answer{
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"};
--- a/tests/balancer.cpp
+++ b/tests/balancer.cpp
@@ -25,8 +25,9 @@
     return list;
 }
 
-deployment rule(const std::string& name, const std::string& organisation,
-                std::uint32_t percent) {
+deployment deployment_with_rule(const std::string& name,
+                                const std::string& organisation,
+                                std::uint32_t percent) {
     deployment value;
     value.name = name;
     value.service = "pool";
@@ -34,7 +35,7 @@
     return value;
 }
 
-/// Shares of 10000 requests by deployment name.
+/// Returns how many of 10000 requests each deployment gets, by name.
 std::map<std::string, int> shares(const rollout_document& document,
                                   const std::string& organisation) {
     std::map<std::string, int> count;
@@ -49,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("balancer - no candidate, no choice") {
+TEST_CASE("balancer - no candidates give no choice") {
     balancer value("two_choice", 1);
     CHECK_FALSE(value.choose({}).has_value());
 }
@@ -66,14 +67,15 @@
 TEST_CASE("balancer - own attempts in a report are not counted twice") {
     balancer_candidate value = idle_agent("a");
     value.reported = 6;
-    value.outstanding_then = 4;
+    value.outstanding_at_report = 4;
     value.outstanding = 4;
     CHECK(load_score(value) == Approx(6.0 / 16));
-    value.outstanding_then = 9;
+    value.outstanding_at_report = 9;
     CHECK(load_score(value) == Approx(4.0 / 16));
 }
 
-TEST_CASE("balancer - a cached prefix is a bonus and never a must") {
+TEST_CASE(
+    "balancer - a cached prefix is preferred unless the agent is loaded") {
     balancer value("two_choice", 1);
     std::vector<balancer_candidate> agents;
     for (const std::string& name : names("vm", 8))
@@ -148,7 +150,7 @@
     CHECK(agent_subset("unknown", entries, agents, 24).size() == 24);
 }
 
-TEST_CASE("balancer - one agent more changes little of a subset") {
+TEST_CASE("balancer - an added agent changes few members of a subset") {
     const auto entries = names("entry", 8);
     const auto before =
         agent_subset("entry-003", entries, names("vm", 190), 24);
@@ -161,34 +163,36 @@
 
 TEST_CASE("balancer - traffic follows the percentages") {
     rollout_document document;
-    document.deployments = {rule("new", "*", 10), rule("old", "*", 90)};
+    document.deployments = {deployment_with_rule("new", "*", 10),
+                            deployment_with_rule("old", "*", 90)};
     auto count = shares(document, "board");
     CHECK(count["new"] > 800);
     CHECK(count["new"] < 1200);
     CHECK(count["new"] + count["old"] == 10'000);
 }
 
-TEST_CASE("balancer - what the percentages leave goes to the highest") {
+TEST_CASE("balancer - the highest percentage also gets the remainder") {
     rollout_document document;
-    document.deployments = {rule("new", "*", 10), rule("old", "*", 30)};
+    document.deployments = {deployment_with_rule("new", "*", 10),
+                            deployment_with_rule("old", "*", 30)};
     auto count = shares(document, "board");
     CHECK(count["new"] < 1200);
     CHECK(count["new"] + count["old"] == 10'000);
 }
 
-TEST_CASE("balancer - an organisation's own rule wins over the general one") {
+TEST_CASE("balancer - an organisation's own rule overrides the general one") {
     rollout_document document;
-    deployment trial = rule("trial", "*", 0);
+    deployment trial = deployment_with_rule("trial", "*", 0);
     trial.traffic.push_back({"board", 100});
-    document.deployments = {trial, rule("old", "*", 100)};
+    document.deployments = {trial, deployment_with_rule("old", "*", 100)};
     document.deployments.back().traffic.push_back({"board", 0});
     CHECK(shares(document, "board")["trial"] == 10'000);
     CHECK(shares(document, "tokachi")["old"] == 10'000);
 }
 
-TEST_CASE("balancer - traffic that no rule allows has no deployment") {
+TEST_CASE("balancer - an organisation without a rule has no deployment") {
     rollout_document document;
-    document.deployments = {rule("new", "board", 100)};
+    document.deployments = {deployment_with_rule("new", "board", 100)};
     CHECK(choose_deployments(document, "pool", "tokachi", 1).empty());
     CHECK(choose_deployments(document, "other", "board", 1).empty());
 }
