--- a/include/ospreystage/weights/distribution.hpp
+++ b/include/ospreystage/weights/distribution.hpp
@@ -80,7 +80,7 @@
 
     /// Leaves room for requests that now take `bytes_per_second` of the link;
     /// an eighth of the link stays with the distribution.
-    void yield_link(std::uint64_t bytes_per_second);
+    void set_request_bandwidth(std::uint64_t bytes_per_second);
 
     // ---- Observers (kernel thread) -----------------------------------------
 
@@ -110,9 +110,9 @@
     void subscribe();
     void on_have(const link_peer& peer, const chunk_have& have);
     void on_manifest_request(const link_peer& peer,
-                             const manifest_request& asked);
+                             const manifest_request& request);
     void on_chunk_data(const link_peer& peer, const chunk_data& data);
-    void on_down(const std::string& peer);
+    void on_peer_down(const std::string& peer);
 
     void update();
     void schedule(instant now);
@@ -130,8 +130,8 @@
     void accept_known(const digest& version, const known_manifest& known);
     void accept_manifest(const chunk_source& source, const digest& version,
                          const std::string& json);
-    void keep(const chunk_source& source, const digest& version,
-              std::uint32_t index, const std::string& data);
+    void check_and_store(const chunk_source& source, const digest& version,
+                         std::uint32_t index, const std::string& data);
     void finish_fetch(const chunk_source& source, const digest& version,
                       std::uint32_t index, fetch_outcome outcome);
 
@@ -143,11 +143,11 @@
     chunk_store store_;
     std::vector<completion_handler> handlers_;
     std::vector<requested_version> requested_;
-    absl::flat_hash_set<digest> reported_;
+    absl::flat_hash_set<digest> reported_complete_;
     absl::flat_hash_map<digest, known_manifest> known_manifests_;
     std::optional<timer_id> timer_;
     instant wake_{};
-    std::uint64_t unsent_ = 0; ///< Uploads that a peer did not read.
+    std::uint64_t unsent_uploads_ = 0; ///< Uploads that a peer did not read.
     origin_client origin_;
     worker_pool origin_pool_;
     worker_pool check_pool_;
--- a/include/ospreystage/weights/engine_loader.hpp
+++ b/include/ospreystage/weights/engine_loader.hpp
@@ -46,12 +46,12 @@
   public:
     struct options {
         /// Age at which a comparison must be made again before an order.
-        milliseconds check_lifetime{600};
+        milliseconds max_check_age{600};
         /// Time between the announcement of a switch and its order, in which
         /// what the entries have sent arrives and what waits begins to run.
         milliseconds announce_lead{200};
         /// Pause after an order or a call that did not succeed.
-        milliseconds retry_pause{300};
+        milliseconds retry_backoff{300};
     };
 
     explicit engine_loader(const options& limits) : limits_(limits) {}
@@ -62,7 +62,7 @@
     /// Sets the requested version of `chunks` chunks; an engine with another
     /// one switches at `turn`.
     void request_version(std::uint64_t version, std::uint32_t chunks,
-                         instant turn);
+                         instant switch_at);
 
     /// Every chunk of the requested version is held and checked.
     void on_held(std::uint64_t version);
@@ -82,7 +82,7 @@
 
     /// Returns true from the announcement of a switch until it has begun.
     [[nodiscard]] bool is_announced() const noexcept {
-        return announced_.has_value();
+        return announced_at_.has_value();
     }
     [[nodiscard]] std::uint64_t requested() const noexcept {
         return requested_;
@@ -92,20 +92,20 @@
     options limits_;
     std::uint64_t requested_ = 0;
     std::uint32_t chunks_ = 0;
-    instant turn_{};
+    instant switch_at_{};
     std::uint64_t held_ = 0;
     std::optional<engine_state_report> report_;
     std::optional<chunk_bitmap> staged_;
-    std::optional<instant> announced_;
-    instant checked_{};
-    instant paused_until_{};
+    std::optional<instant> announced_at_;
+    instant checked_at_{};
+    instant backoff_until_{};
     bool is_busy_ = false;
 };
 
 /// Returns when the engine of rank `rank` of `count` gives up its version.
 ///
 /// The turns are spread from `first` to `last` after the publication.
-[[nodiscard]] milliseconds switch_turn(std::size_t rank, std::size_t count,
-                                       milliseconds first, milliseconds last);
+[[nodiscard]] milliseconds switch_delay(std::size_t rank, std::size_t count,
+                                        milliseconds first, milliseconds last);
 
 } // namespace ospreystage
--- a/include/ospreystage/weights/engine_service.hpp
+++ b/include/ospreystage/weights/engine_service.hpp
@@ -33,7 +33,7 @@
     // ---- Construction ------------------------------------------------------
 
     engine_service(kernel& core, const settings& configuration,
-                   std::uint64_t fence, dependencies needs);
+                   std::uint64_t fence, dependencies callbacks);
     ~engine_service();
     engine_service(const engine_service&) = delete;
     engine_service& operator=(const engine_service&) = delete;
@@ -56,15 +56,16 @@
 
     void poll();
     [[nodiscard]] std::optional<observation> observe();
-    [[nodiscard]] std::vector<engine_order> decide(const observation& seen);
-    void carry_out(const std::vector<engine_order>& orders);
+    [[nodiscard]] std::vector<engine_order>
+    decide(const observation& observed_state);
+    void send_orders(const std::vector<engine_order>& orders);
     void read_cache_events();
     [[nodiscard]] bool wait_for_next_poll();
 
     kernel& core_;
     const settings& configuration_;
     std::uint64_t fence_;
-    dependencies needs_;
+    dependencies callbacks_;
     std::thread thread_;
     std::uint64_t next_cache_event_ = 0;  ///< Polling thread only.
     std::vector<std::uint64_t> prefixes_; ///< Polling thread only.
--- a/include/ospreystage/weights/published_versions.hpp
+++ b/include/ospreystage/weights/published_versions.hpp
@@ -19,7 +19,7 @@
     struct publication {
         std::uint64_t version = 0;
         /// When this process learned of it.
-        instant learned_at{};
+        instant received_at{};
         /// False if it had been published before this process looked.
         bool is_observed = false;
     };
--- a/include/ospreystage/weights/swarm.hpp
+++ b/include/ospreystage/weights/swarm.hpp
@@ -105,22 +105,22 @@
         std::string name;
         bool is_member = false;
         bool is_local = false;
-        bool proven = false; ///< Has delivered a chunk.
+        bool has_delivered = false; ///< Has delivered a chunk.
         std::uint32_t outstanding = 0;
-        std::uint32_t strikes = 0;
-        instant avoided_until{};     ///< It gave no or bad answers.
+        std::uint32_t failure_count = 0;
+        instant backoff_until{};     ///< It gave no or bad answers.
         instant unreachable_until{}; ///< Its connection ended.
-        instant delivered{};
-        instant heard{};
+        instant last_delivery{};
+        instant last_received{};
         microseconds latency{}; ///< Smoothed time to an answer.
     };
 
     /// What is known of a peer for one version.
     struct peer_view {
         chunk_bitmap held;
-        bool active = false;         ///< It has announced the version.
-        std::uint32_t announced = 0; ///< Own count last told, plus one.
-        instant told{};
+        bool active = false;               ///< It has announced the version.
+        std::uint32_t announced_state = 0; ///< Own count last told, plus one.
+        instant last_announced{};
 
         [[nodiscard]] bool is_complete() const noexcept {
             return held.size() > 0 && held.is_full();
@@ -142,17 +142,18 @@
         std::vector<std::uint32_t> order; ///< Random, differs by agent.
         std::vector<peer_view> views;     ///< By peer_id.
         std::vector<peer_id> active;
-        std::optional<chunk_assignment> roles;
-        std::vector<std::string> silent; ///< Readers that others replace.
-        std::vector<std::string> owners_to_tell;
+        std::optional<chunk_assignment> assignment;
+        std::vector<std::string>
+            silent_readers; ///< Readers that others replace.
+        std::vector<std::string> owners_to_notify;
         bool announce_now = false;
-        instant announced{};
+        instant last_announcement{};
         instant requested_since{};
-        instant progress{}; ///< Last chunk stored.
-        instant checked{};
+        instant last_progress{}; ///< Last chunk stored.
+        instant last_blocked_check{};
         std::optional<chunk_source> manifest_source; ///< Outstanding.
         instant manifest_deadline{};
-        instant manifest_retry{};
+        instant manifest_retry_at{};
     };
 
     struct request_record {
@@ -167,26 +168,26 @@
     // Records (swarm.cpp)
     [[nodiscard]] version_record* find(const digest& version);
     [[nodiscard]] const version_record* find(const digest& version) const;
-    [[nodiscard]] peer_id peer_of(const std::string& name);
+    [[nodiscard]] peer_id find_or_add_peer(const std::string& name);
     [[nodiscard]] peer_record& at(peer_id id);
     [[nodiscard]] const peer_record& at(peer_id id) const;
     [[nodiscard]] peer_view& view_of(version_record& version, peer_id id);
-    void place(version_record& version);
-    void forget_view(version_record& version, peer_id id);
+    void update_assignment(version_record& version);
+    void drop_view(version_record& version, peer_id id);
     void count_holders(version_record& version, const chunk_bitmap& held,
                        int change);
     void store(version_record& version, std::uint32_t index,
                const chunk_source& source, instant now);
-    void strike(peer_id id, instant now);
+    void record_failure(peer_id id, instant now);
     [[nodiscard]] bool is_usable(peer_id id, instant now) const;
 
     // Requests (swarm_requests.cpp)
     [[nodiscard]] milliseconds stall_timeout(std::uint32_t bytes) const;
     [[nodiscard]] std::optional<request_record>
-    take_request(const chunk_source& source, const digest& version,
-                 std::uint32_t index);
+    remove_request(const chunk_source& source, const digest& version,
+                   std::uint32_t index);
     void release(const request_record& request, bool refund);
-    void expire(instant now);
+    void expire_requests(instant now);
     /// Counts the time that a silent source took as time without a source.
     void mark_blocked(const request_record& request);
     void start_request(version_record& version, std::uint32_t index,
@@ -208,10 +209,10 @@
     [[nodiscard]] bool has_trusted_holder(const version_record& version,
                                           std::uint32_t index, bool local_only,
                                           instant now) const;
-    [[nodiscard]] bool may_cross(const version_record& version,
-                                 std::uint32_t index, instant now) const;
-    void check_blocked(version_record& version, instant now);
-    void check_silence(version_record& version, instant now);
+    [[nodiscard]] bool may_fetch_remote(const version_record& version,
+                                        std::uint32_t index, instant now) const;
+    void update_blocked_chunks(version_record& version, instant now);
+    void update_silent_readers(version_record& version, instant now);
 
     // Uploads and announcements (swarm_uploads.cpp)
     [[nodiscard]] bool plan_upload();
@@ -225,10 +226,10 @@
     std::mt19937_64 random_;
     std::vector<swarm_member> members_;
     link_budget budget_;
-    token_bucket upload_;
-    token_bucket download_; ///< Unused if the directions share the link.
-    std::uint64_t taken_up_ = 0;
-    std::uint64_t taken_down_ = 0;
+    token_bucket upload_bucket_;
+    token_bucket download_bucket_; ///< Unused if the directions share the link.
+    std::uint64_t uploaded_bytes_ = 0;
+    std::uint64_t downloaded_bytes_ = 0;
     std::vector<peer_record> peers_;
     absl::flat_hash_map<std::string, peer_id> peer_ids_;
     std::vector<version_record> versions_; ///< Highest priority first.
@@ -236,7 +237,7 @@
     std::uint32_t peer_requests_ = 0;
     std::uint64_t peer_request_bytes_ = 0;
     std::uint32_t origin_requests_ = 0;
-    instant origin_avoided_until_{};
+    instant origin_backoff_until_{};
     upload_queue uploads_;
     std::vector<swarm_action> actions_;
     swarm_counters counters_;
--- a/include/ospreystage/weights/swarm_types.hpp
+++ b/include/ospreystage/weights/swarm_types.hpp
@@ -35,11 +35,11 @@
     milliseconds announce_interval{50};   ///< Between two `announce`.
     milliseconds keepalive_interval{500}; ///< Of readers among each other.
     milliseconds min_stall_timeout{1000}; ///< A source gave no answer.
-    milliseconds refusal_pause{50};       ///< After a refusal of a peer.
-    milliseconds avoidance{5000};         ///< After a bad or missing answer.
-    milliseconds max_avoidance{60'000};
-    milliseconds reconnect_pause{500}; ///< After a connection ended.
-    milliseconds origin_pause{500};    ///< After a failure of the origin.
+    milliseconds refusal_backoff{50};     ///< After a refusal of a peer.
+    milliseconds failure_backoff{5000};   ///< After a bad or missing answer.
+    milliseconds max_failure_backoff{60'000};
+    milliseconds reconnect_backoff{500}; ///< After a connection ended.
+    milliseconds origin_backoff{500};    ///< After a failure of the origin.
 };
 
 /// Source of chunks: a peer by name.
@@ -113,15 +113,15 @@
 
 /// Counts of events since the start.
 struct swarm_counters {
-    std::uint64_t from_peers = 0;  ///< Chunks.
-    std::uint64_t from_remote = 0; ///< Chunks from other data centres.
-    std::uint64_t from_origin = 0; ///< Chunks.
-    std::uint64_t served = 0;      ///< Chunks.
-    std::uint64_t corrupt = 0;     ///< Bad chunks received.
-    std::uint64_t refused = 0;     ///< Requests that a peer refused.
-    std::uint64_t timeouts = 0;    ///< Requests without an answer.
-    std::uint64_t duplicates = 0;  ///< Chunks received twice.
-    std::uint64_t stood_in = 0;    ///< Origin reads in place of another.
+    std::uint64_t from_peers = 0;   ///< Chunks.
+    std::uint64_t from_remote = 0;  ///< Chunks from other data centres.
+    std::uint64_t from_origin = 0;  ///< Chunks.
+    std::uint64_t served = 0;       ///< Chunks.
+    std::uint64_t corrupt = 0;      ///< Bad chunks received.
+    std::uint64_t refused = 0;      ///< Requests that a peer refused.
+    std::uint64_t timeouts = 0;     ///< Requests without an answer.
+    std::uint64_t duplicates = 0;   ///< Chunks received twice.
+    std::uint64_t backup_reads = 0; ///< Origin reads in place of another.
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/weights/upload_queue.hpp
+++ b/include/ospreystage/weights/upload_queue.hpp
@@ -22,8 +22,8 @@
   public:
     // ---- Observers ---------------------------------------------------------
 
-    [[nodiscard]] bool empty() const noexcept { return waiting_.empty(); }
-    [[nodiscard]] std::size_t size() const noexcept { return waiting_.size(); }
+    [[nodiscard]] bool empty() const noexcept { return pending_.empty(); }
+    [[nodiscard]] std::size_t size() const noexcept { return pending_.size(); }
 
     // ---- Modifiers ---------------------------------------------------------
 
@@ -40,14 +40,14 @@
     void drop_version(const digest& version);
 
   private:
-    struct waiting_request {
+    struct pending_request {
         serve_chunk request;
         std::uint64_t sequence = 0; ///< Order of arrival.
     };
 
     [[nodiscard]] std::uint32_t times_sent(const serve_chunk& request) const;
 
-    std::deque<waiting_request> waiting_;
+    std::deque<pending_request> pending_;
     std::uint64_t next_sequence_ = 0;
     absl::flat_hash_map<std::pair<digest, std::uint32_t>, std::uint32_t> sent_;
 };
--- a/src/weights/chunk_store.cpp
+++ b/src/weights/chunk_store.cpp
@@ -200,14 +200,14 @@
 
 leaf::result<void> chunk_store::put(const digest& version, std::uint32_t index,
                                     const std::string& data) {
-    const digest seen = sha256(data);
+    const digest actual = sha256(data);
     const absl::MutexLock lock(&mutex_);
     const auto found = versions_.find(version);
     if (found == versions_.end() ||
         index >= found->second.description.chunks.size())
         return missing("chunk_store.put", version);
     version_record& record = found->second;
-    if (record.description.chunks[index] != seen ||
+    if (record.description.chunks[index] != actual ||
         record.description.chunk_size(index) != data.size())
         return fail(error_code::malformed, "chunk_store.put", "",
                     "digest of chunk " + std::to_string(index) + " differs");
--- a/src/weights/distribution.cpp
+++ b/src/weights/distribution.cpp
@@ -16,8 +16,8 @@
 /// Chunks that an announcement may speak of.
 constexpr std::uint32_t max_chunks = 1U << 20U;
 /// Part of the link that requests never displace, as a divisor.
-constexpr std::uint64_t least_share_divisor = 8;
-constexpr milliseconds shortest_wait{1};
+constexpr std::uint64_t min_share_divisor = 8;
+constexpr milliseconds min_wait{1};
 
 distribution_strategy strategy_of(const settings& configuration) {
     if (configuration.distribution.baseline == "direct")
@@ -83,7 +83,7 @@
 
 void distribution::start() {
     subscribe();
-    yield_link(0);
+    set_request_bandwidth(0);
     set_members({});
     update();
 }
@@ -144,7 +144,7 @@
         if (is_requested(entry.version))
             continue;
         store_.drop(entry.version);
-        reported_.erase(entry.version);
+        reported_complete_.erase(entry.version);
     }
     requested_ = std::move(valid);
     decisions_.set_requested(requested_, steady::now());
@@ -166,14 +166,15 @@
     known_manifests_[version] = {json, std::move(chunks)};
 }
 
-void distribution::yield_link(std::uint64_t bytes_per_second) {
+void distribution::set_request_bandwidth(std::uint64_t bytes_per_second) {
     const auto& section = configuration_.distribution;
     const std::uint64_t link = section.link_bytes_per_second;
-    const std::uint64_t least = link / least_share_divisor;
-    const std::uint64_t left =
+    const std::uint64_t min_share = link / min_share_divisor;
+    const std::uint64_t remaining =
         bytes_per_second < link ? link - bytes_per_second : 0;
-    decisions_.set_budget({std::max(left, least), section.shared_directions},
-                          steady::now());
+    decisions_.set_budget(
+        {std::max(remaining, min_share), section.shared_directions},
+        steady::now());
 }
 
 // ---- Observers -------------------------------------------------------------
@@ -184,7 +185,7 @@
 
 nlohmann::json distribution::dump() const {
     nlohmann::json state = decisions_.dump();
-    state["unsent"] = unsent_;
+    state["unsent"] = unsent_uploads_;
     return state;
 }
 
@@ -210,8 +211,8 @@
             on_have(peer, have);
         });
     links_.on<manifest_request>(
-        [this](const link_peer& peer, const manifest_request& asked) {
-            on_manifest_request(peer, asked);
+        [this](const link_peer& peer, const manifest_request& request) {
+            on_manifest_request(peer, request);
         });
     links_.on<manifest_reply>(
         [this](const link_peer& peer, const manifest_reply& answer) {
@@ -219,10 +220,10 @@
                             answer.json);
         });
     links_.on<chunk_request>(
-        [this](const link_peer& peer, const chunk_request& asked) {
+        [this](const link_peer& peer, const chunk_request& request) {
             decisions_.on_request(peer.process.name,
                                   static_cast<std::uint64_t>(peer.connection),
-                                  asked.version, asked.index);
+                                  request.version, request.index);
             update();
         });
     links_.on<chunk_data>(
@@ -230,7 +231,7 @@
             on_chunk_data(peer, data);
         });
     links_.on_down([this](const link_peer& peer, const std::string&) {
-        on_down(peer.process.name);
+        on_peer_down(peer.process.name);
     });
 }
 
@@ -245,12 +246,12 @@
 }
 
 void distribution::on_manifest_request(const link_peer& peer,
-                                       const manifest_request& asked) {
+                                       const manifest_request& request) {
     error ignored;
     auto text = value_or_error(
-        [&] { return store_.manifest_text(asked.version); }, ignored);
+        [&] { return store_.manifest_text(request.version); }, ignored);
     links_.reply(peer.connection,
-                 manifest_reply{asked.version, text.value_or("")});
+                 manifest_reply{request.version, text.value_or("")});
 }
 
 void distribution::on_chunk_data(const link_peer& peer,
@@ -261,11 +262,11 @@
         return;
     }
     check_pool_.run([this, source, data] {
-        keep(source, data.version, data.index, data.data);
+        check_and_store(source, data.version, data.index, data.data);
     });
 }
 
-void distribution::on_down(const std::string& peer) {
+void distribution::on_peer_down(const std::string& peer) {
     // Posted: `links` may be in the middle of a call of this service.
     core_.post(service_name, [this, peer] {
         decisions_.on_peer_down(peer, steady::now());
@@ -276,8 +277,9 @@
 // ---- Results ---------------------------------------------------------------
 
 /// Checks and stores a chunk (worker thread).
-void distribution::keep(const chunk_source& source, const digest& version,
-                        std::uint32_t index, const std::string& data) {
+void distribution::check_and_store(const chunk_source& source,
+                                   const digest& version, std::uint32_t index,
+                                   const std::string& data) {
     const fetch_outcome outcome = put(store_, version, index, data);
     core_.post(service_name, [this, source, version, index, outcome] {
         finish_fetch(source, version, index, outcome);
@@ -341,8 +343,7 @@
     if (timer_)
         core_.cancel(*timer_);
     wake_ = wake;
-    const auto wait =
-        std::max<std::chrono::nanoseconds>(wake - now, shortest_wait);
+    const auto wait = std::max<std::chrono::nanoseconds>(wake - now, min_wait);
     timer_ = core_.after(service_name, wait, [this] {
         timer_.reset();
         update();
@@ -353,7 +354,7 @@
     std::vector<digest> completed;
     for (const requested_version& entry : requested_)
         if (decisions_.complete(entry.version) &&
-            reported_.insert(entry.version).second)
+            reported_complete_.insert(entry.version).second)
             completed.push_back(entry.version);
     for (const digest& version : completed) {
         log_event(log_level::info, "version_complete", {{"version", version}});
@@ -369,7 +370,7 @@
         return;
     }
     if (!links_.send(peer->name, chunk_request{action.version, action.index}))
-        on_down(peer->name);
+        on_peer_down(peer->name);
 }
 
 void distribution::perform(const fetch_manifest& action) {
@@ -377,7 +378,7 @@
     if (peer == nullptr)
         read_origin_manifest(action.version);
     else if (!links_.send(peer->name, manifest_request{action.version}))
-        on_down(peer->name);
+        on_peer_down(peer->name);
 }
 
 void distribution::perform(const announce_chunks& action) {
@@ -394,7 +395,7 @@
 void distribution::perform(const serve_chunk& action) {
     const connection_id connection{action.connection};
     if (network_.pending_bytes(connection) > max_unread_bytes) {
-        ++unsent_;
+        ++unsent_uploads_;
         return;
     }
     error ignored;
@@ -422,7 +423,7 @@
         const auto data = value_or_error(
             [&] { return origin_.chunk(version, index); }, failure);
         if (data) {
-            keep(origin_source{}, version, index, *data);
+            check_and_store(origin_source{}, version, index, *data);
             return;
         }
         log_event(log_level::warn, "origin_failed",
--- a/src/weights/engine_loader.cpp
+++ b/src/weights/engine_loader.cpp
@@ -5,12 +5,12 @@
 namespace ospreystage {
 
 void engine_loader::request_version(std::uint64_t version, std::uint32_t chunks,
-                                    instant turn) {
+                                    instant switch_at) {
     if (version != requested_ || chunks != chunks_)
         staged_.reset();
     requested_ = version;
     chunks_ = chunks;
-    turn_ = turn;
+    switch_at_ = switch_at;
 }
 
 void engine_loader::on_held(std::uint64_t version) {
@@ -21,23 +21,23 @@
     if (report_ && report_->started_unix_ms != report.started_unix_ms)
         staged_.reset();
     if (report.is_loading || report.version >= requested_)
-        announced_.reset();
+        announced_at_.reset();
     report_ = report;
 }
 
 void engine_loader::on_checked(const chunk_bitmap& good, instant now) {
     staged_ = good;
-    checked_ = now;
+    checked_at_ = now;
 }
 
 void engine_loader::on_done(bool succeeded, instant now) {
     is_busy_ = false;
     if (!succeeded)
-        paused_until_ = now + limits_.retry_pause;
+        backoff_until_ = now + limits_.retry_backoff;
 }
 
 loader_action engine_loader::next(instant now) {
-    if (is_busy_ || now < paused_until_ || !report_ || requested_ == 0)
+    if (is_busy_ || now < backoff_until_ || !report_ || requested_ == 0)
         return std::monostate{};
     if (report_->version >= requested_ || report_->is_loading ||
         held_ != requested_)
@@ -57,15 +57,15 @@
         return act(missing);
     }
     const bool is_serving = report_->version != 0;
-    if (is_serving && now < turn_)
+    if (is_serving && now < switch_at_)
         return std::monostate{};
-    if (is_serving && !announced_) {
-        announced_ = now;
+    if (is_serving && !announced_at_) {
+        announced_at_ = now;
         return act(announce_switch{});
     }
-    if (is_serving && now - *announced_ < limits_.announce_lead)
+    if (is_serving && now - *announced_at_ < limits_.announce_lead)
         return std::monostate{};
-    if (now - checked_ > limits_.check_lifetime) {
+    if (now - checked_at_ > limits_.max_check_age) {
         staged_.reset();
         return act(check_staged{});
     }
@@ -73,8 +73,8 @@
     return act(order_switch{requested_, report_->orders});
 }
 
-milliseconds switch_turn(std::size_t rank, std::size_t count,
-                         milliseconds first, milliseconds last) {
+milliseconds switch_delay(std::size_t rank, std::size_t count,
+                          milliseconds first, milliseconds last) {
     if (count < 2 || last <= first)
         return first;
     const auto step = (last - first) / static_cast<std::int64_t>(count - 1);
--- a/src/weights/engine_service.cpp
+++ b/src/weights/engine_service.cpp
@@ -40,9 +40,9 @@
 } // namespace
 
 engine_service::engine_service(kernel& core, const settings& configuration,
-                               std::uint64_t fence, dependencies needs)
+                               std::uint64_t fence, dependencies callbacks)
     : core_(core), configuration_(configuration), fence_(fence),
-      needs_(std::move(needs)) {}
+      callbacks_(std::move(callbacks)) {}
 
 engine_service::~engine_service() {
     stop();
@@ -72,19 +72,20 @@
 
 void engine_service::poll() {
     do {
-        const auto seen = observe();
-        if (!seen) {
+        const auto observed_state = observe();
+        if (!observed_state) {
             core_.post("engine", [this] {
                 ++failures_;
-                needs_.unreachable();
+                callbacks_.unreachable();
             });
             continue;
         }
-        const auto orders =
-            core_.call("engine", [this, &seen] { return decide(*seen); });
+        const auto orders = core_.call("engine", [this, &observed_state] {
+            return decide(*observed_state);
+        });
         if (!orders)
             return;
-        carry_out(*orders);
+        send_orders(*orders);
     } while (wait_for_next_poll());
 }
 
@@ -106,16 +107,18 @@
     return observation{std::move(*state), prefixes_};
 }
 
-std::vector<engine_order> engine_service::decide(const observation& seen) {
+std::vector<engine_order>
+engine_service::decide(const observation& observed_state) {
     ++polls_;
-    latest_ = seen.state;
-    needs_.observed(seen.state, seen.prefixes);
-    auto orders = reconcile(seen.state, needs_.target(seen.state));
+    latest_ = observed_state.state;
+    callbacks_.observed(observed_state.state, observed_state.prefixes);
+    auto orders = reconcile(observed_state.state,
+                            callbacks_.target(observed_state.state));
     orders_ += orders.size();
     return orders;
 }
 
-void engine_service::carry_out(const std::vector<engine_order>& orders) {
+void engine_service::send_orders(const std::vector<engine_order>& orders) {
     const std::string source =
         fmt::format("http://{}", to_string(configuration_.listen.http));
     for (const engine_order& order : orders) {
--- a/src/weights/origin_client.cpp
+++ b/src/weights/origin_client.cpp
@@ -26,7 +26,7 @@
                : error_code::unavailable;
 }
 
-origin_layout own_layout(const std::string& prefix) {
+origin_layout default_layout(const std::string& prefix) {
     return {[prefix](const digest& version) {
                 return fmt::format("{}/versions/{}/manifest", prefix, version);
             },
@@ -45,7 +45,7 @@
     std::string prefix = url.substr(path);
     while (prefix.ends_with('/'))
         prefix.pop_back();
-    layout_ = own_layout(prefix);
+    layout_ = default_layout(prefix);
     set_url(url.substr(0, path));
 }
 
--- a/src/weights/published_versions.cpp
+++ b/src/weights/published_versions.cpp
@@ -14,7 +14,7 @@
 
 bool published_versions::is_due(const publication& record, instant now) const {
     return !record.is_observed ||
-           now - record.learned_at > limit_ - safety_margin;
+           now - record.received_at > limit_ - safety_margin;
 }
 
 bool published_versions::on_published(const std::string& model,
--- a/src/weights/swarm.cpp
+++ b/src/weights/swarm.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr milliseconds burst_time{20}; ///< Unused budget that is kept.
-constexpr std::uint32_t max_strike_shift = 8;
+constexpr std::uint32_t max_backoff_shift = 8;
 
 } // namespace
 
@@ -38,12 +38,13 @@
 nlohmann::json swarm::dump() const {
     nlohmann::json state;
     for (const version_record& version : versions_)
-        state["versions"].push_back({{"version", version.id},
-                                     {"priority", version.priority},
-                                     {"chunks", version.held.size()},
-                                     {"held", version.held.count()},
-                                     {"sources", version.active.size()},
-                                     {"silent_readers", version.silent}});
+        state["versions"].push_back(
+            {{"version", version.id},
+             {"priority", version.priority},
+             {"chunks", version.held.size()},
+             {"held", version.held.count()},
+             {"sources", version.active.size()},
+             {"silent_readers", version.silent_readers}});
     state["members"] = members_.size();
     state["requests_to_peers"] = peer_requests_;
     state["requests_to_origin"] = origin_requests_;
@@ -56,7 +57,7 @@
     state["refused"] = counters_.refused;
     state["timeouts"] = counters_.timeouts;
     state["duplicates"] = counters_.duplicates;
-    state["stood_in"] = counters_.stood_in;
+    state["stood_in"] = counters_.backup_reads;
     return state;
 }
 
@@ -81,7 +82,7 @@
     for (const swarm_member& entry : members_) {
         if (entry.name == self_)
             continue;
-        peer_record& peer = at(peer_of(entry.name));
+        peer_record& peer = at(find_or_add_peer(entry.name));
         peer.is_member = true;
         peer.is_local = entry.data_centre == own_data_centre;
     }
@@ -89,7 +90,7 @@
         if (was_member[id] && !peers_[id].is_member)
             on_peer_down(peers_[id].name, now);
     for (version_record& version : versions_) {
-        place(version);
+        update_assignment(version);
         version.announce_now = true;
     }
 }
@@ -107,7 +108,7 @@
         if (!is_requested(request.version))
             dropped.push_back(request);
     for (const request_record& request : dropped)
-        if (take_request(request.source, request.version, request.index))
+        if (remove_request(request.source, request.version, request.index))
             release(request, false);
     std::erase_if(versions_, [&](const version_record& version) {
         if (is_requested(version.id))
@@ -120,9 +121,9 @@
             version_record& added = versions_.emplace_back();
             added.id = entry.version;
             added.requested_since = now;
-            added.progress = now;
+            added.last_progress = now;
             added.announce_now = true;
-            place(added);
+            update_assignment(added);
         }
         find(entry.version)->priority = entry.priority;
     }
@@ -138,10 +139,10 @@
     const auto burst = budget.bytes_per_second *
                        static_cast<std::uint64_t>(burst_time.count()) /
                        static_cast<std::uint64_t>(milliseconds::period::den);
-    upload_.advance(now);
-    download_.advance(now);
-    upload_.set_rate(budget.bytes_per_second, burst);
-    download_.set_rate(budget.bytes_per_second, burst);
+    upload_bucket_.advance(now);
+    download_bucket_.advance(now);
+    upload_bucket_.set_rate(budget.bytes_per_second, burst);
+    download_bucket_.set_rate(budget.bytes_per_second, burst);
 }
 
 // ---- Events ----------------------------------------------------------------
@@ -160,13 +161,13 @@
     std::shuffle(record->order.begin(), record->order.end(), random_);
     record->manifest_source.reset();
     record->announce_now = true;
-    record->progress = now;
+    record->last_progress = now;
     for (const peer_id id : record->active) {
         peer_view& view = view_of(*record, id);
         view.held = chunk_bitmap(chunks, view.held.bytes());
         count_holders(*record, view.held, 1);
     }
-    place(*record);
+    update_assignment(*record);
 }
 
 void swarm::on_have(const std::string& peer, const digest& version,
@@ -174,14 +175,14 @@
     version_record* record = find(version);
     if (record == nullptr || peer == self_)
         return;
-    const peer_id id = peer_of(peer);
-    at(id).heard = now;
+    const peer_id id = find_or_add_peer(peer);
+    at(id).last_received = now;
     peer_view& view = view_of(*record, id);
     if (!view.active)
         record->active.push_back(id);
     // A peer that has lost chunks has started anew: tell it again.
     if (!view.active || held.count() < view.held.count())
-        view.announced = 0;
+        view.announced_state = 0;
     view.active = true;
     if (record->description) {
         count_holders(*record, view.held, -1);
@@ -195,7 +196,7 @@
 void swarm::on_fetched(const chunk_source& source, const digest& version,
                        std::uint32_t index, fetch_outcome outcome,
                        instant now) {
-    const auto request = take_request(source, version, index);
+    const auto request = remove_request(source, version, index);
     if (request)
         release(*request, outcome != fetch_outcome::stored &&
                               outcome != fetch_outcome::corrupt);
@@ -210,16 +211,16 @@
     }
     if (std::holds_alternative<origin_source>(source)) {
         if (outcome != fetch_outcome::stored)
-            origin_avoided_until_ = now + options_.origin_pause;
+            origin_backoff_until_ = now + options_.origin_backoff;
         return;
     }
-    const peer_id id = peer_of(std::get<peer_source>(source).name);
+    const peer_id id = find_or_add_peer(std::get<peer_source>(source).name);
     peer_record& peer = at(id);
     switch (outcome) {
     case fetch_outcome::stored:
-        peer.proven = true;
-        peer.strikes = 0;
-        peer.delivered = now;
+        peer.has_delivered = true;
+        peer.failure_count = 0;
+        peer.last_delivery = now;
         if (request)
             peer.latency =
                 (peer.latency * 3 + std::chrono::duration_cast<microseconds>(
@@ -227,31 +228,31 @@
                 4;
         break;
     case fetch_outcome::refused:
-        peer.avoided_until =
-            std::max(peer.avoided_until, now + options_.refusal_pause);
+        peer.backoff_until =
+            std::max(peer.backoff_until, now + options_.refusal_backoff);
         break;
     case fetch_outcome::corrupt:
     case fetch_outcome::failed:
-        strike(id, now);
+        record_failure(id, now);
         break;
     }
 }
 
 void swarm::on_peer_down(const std::string& peer, instant now) {
-    const peer_id id = peer_of(peer);
+    const peer_id id = find_or_add_peer(peer);
     std::vector<request_record> lost;
     for (const request_record& request : requests_)
         if (request.source == chunk_source(peer_source{peer}))
             lost.push_back(request);
     for (const request_record& request : lost)
-        if (take_request(request.source, request.version, request.index))
+        if (remove_request(request.source, request.version, request.index))
             release(request, true);
     uploads_.drop_peer(peer);
     if (!lost.empty() && is_usable(id, now))
-        strike(id, now);
-    at(id).unreachable_until = now + options_.reconnect_pause;
+        record_failure(id, now);
+    at(id).unreachable_until = now + options_.reconnect_backoff;
     for (version_record& version : versions_)
-        forget_view(version, id);
+        drop_view(version, id);
 }
 
 // ---- Records ---------------------------------------------------------------
@@ -270,7 +271,7 @@
     return nullptr;
 }
 
-swarm::peer_id swarm::peer_of(const std::string& name) {
+swarm::peer_id swarm::find_or_add_peer(const std::string& name) {
     const auto next = static_cast<peer_id>(peers_.size());
     const auto [found, added] = peer_ids_.emplace(name, next);
     if (added)
@@ -292,13 +293,13 @@
     return version.views[static_cast<std::size_t>(id)];
 }
 
-void swarm::place(version_record& version) {
+void swarm::update_assignment(version_record& version) {
     const auto chunks = static_cast<std::uint32_t>(version.chunks.size());
-    version.roles.emplace(options_.strategy, members_, self_, version.id,
-                          chunks, version.silent);
+    version.assignment.emplace(options_.strategy, members_, self_, version.id,
+                               chunks, version.silent_readers);
 }
 
-void swarm::forget_view(version_record& version, peer_id id) {
+void swarm::drop_view(version_record& version, peer_id id) {
     peer_view& view = view_of(version, id);
     if (view.active)
         count_holders(version, view.held, -1);
@@ -326,34 +327,35 @@
         ++counters_.duplicates;
         return;
     }
-    version.progress = now;
+    version.last_progress = now;
     if (const auto* peer = std::get_if<peer_source>(&source)) {
         ++counters_.from_peers;
-        if (!at(peer_of(peer->name)).is_local)
+        if (!at(find_or_add_peer(peer->name)).is_local)
             ++counters_.from_remote;
         return;
     }
     ++counters_.from_origin;
-    if (version.roles->role(index).origin_rank >=
-        version.roles->origin_copies())
-        ++counters_.stood_in;
+    if (version.assignment->role(index).origin_rank >=
+        version.assignment->origin_copies())
+        ++counters_.backup_reads;
     // Other data centres wait for a chunk that is new to the fleet.
-    for (std::string& owner : version.roles->remote_owners(index))
-        version.owners_to_tell.push_back(std::move(owner));
+    for (std::string& owner : version.assignment->remote_owners(index))
+        version.owners_to_notify.push_back(std::move(owner));
 }
 
-void swarm::strike(peer_id id, instant now) {
+void swarm::record_failure(peer_id id, instant now) {
     peer_record& peer = at(id);
-    const auto shift = std::min(peer.strikes, max_strike_shift);
-    ++peer.strikes;
-    peer.proven = false;
-    peer.avoided_until = now + std::min(options_.max_avoidance,
-                                        options_.avoidance * (1 << shift));
+    const auto shift = std::min(peer.failure_count, max_backoff_shift);
+    ++peer.failure_count;
+    peer.has_delivered = false;
+    peer.backoff_until =
+        now + std::min(options_.max_failure_backoff,
+                       options_.failure_backoff * (1 << shift));
 }
 
 bool swarm::is_usable(peer_id id, instant now) const {
     const peer_record& peer = at(id);
-    return peer.is_member && peer.avoided_until <= now &&
+    return peer.is_member && peer.backoff_until <= now &&
            peer.unreachable_until <= now;
 }
 
--- a/src/weights/swarm_downloads.cpp
+++ b/src/weights/swarm_downloads.cpp
@@ -13,17 +13,17 @@
 /// Interval between two looks for chunks that no source is known for.
 constexpr milliseconds check_interval{100};
 /// Missed keepalives after which a reader counts as silent.
-constexpr int silent_keepalives = 3;
+constexpr int max_missed_keepalives = 3;
 /// Multiples of the stall timeout that make up the fallback time.
-constexpr int fallback_stalls = 2;
+constexpr int fallback_stall_timeouts = 2;
 /// Stall timeouts after which others fetch a chunk in place of its owner.
-constexpr int owner_stalls = 2;
+constexpr int owner_stall_timeouts = 2;
 /// Agents that do so one after the other within the time of one stall.
-constexpr int owner_turns_per_stall = 4;
+constexpr int owners_per_stall_timeout = 4;
 /// Fallback times before a reader of a higher rank, or an agent that is no
 /// reader, reads from the origin in place of the first one.
-constexpr int stand_in_fallbacks = 1;
-constexpr int last_resort_fallbacks = 4;
+constexpr int backup_reader_fallbacks = 1;
+constexpr int non_reader_fallbacks = 4;
 constexpr int stagnation_fallbacks = 4;
 
 bool is_set(instant moment) noexcept {
@@ -39,12 +39,12 @@
     while (is_busy) {
         is_busy = false;
         const bool upload_first =
-            !budget_.shared_directions || taken_up_ <= taken_down_;
-        if (upload_first && upload_.is_ready() && plan_upload())
+            !budget_.shared_directions || uploaded_bytes_ <= downloaded_bytes_;
+        if (upload_first && upload_bucket_.is_ready() && plan_upload())
             is_busy = true;
         if (download_bucket().is_ready() && plan_download(now))
             is_busy = true;
-        if (!upload_first && upload_.is_ready() && plan_upload())
+        if (!upload_first && upload_bucket_.is_ready() && plan_upload())
             is_busy = true;
     }
 }
@@ -62,7 +62,7 @@
 
 bool swarm::plan_origin(version_record& version, instant now) {
     if (origin_requests_ >= options_.max_origin_requests ||
-        origin_avoided_until_ > now)
+        origin_backoff_until_ > now)
         return false;
     struct choice {
         std::uint32_t rank = 0;
@@ -74,7 +74,7 @@
     for (const std::uint32_t index : version.order) {
         if (version.held.test(index) || version.chunks[index].in_flight > 0)
             continue;
-        const choice next{version.roles->role(index).origin_rank,
+        const choice next{version.assignment->role(index).origin_rank,
                           version.chunks[index].holders, index};
         if (best && next.key() >= best->key())
             continue;
@@ -92,10 +92,10 @@
         return false;
     std::optional<peer_id> source;
     std::uint32_t chosen = 0;
-    std::uint32_t fewest = std::numeric_limits<std::uint32_t>::max();
+    std::uint32_t min_holders = std::numeric_limits<std::uint32_t>::max();
     for (const std::uint32_t index : version.order) {
         const chunk_record& chunk = version.chunks[index];
-        if (chunk.holders == 0 || chunk.holders >= fewest ||
+        if (chunk.holders == 0 || chunk.holders >= min_holders ||
             chunk.in_flight > 0 || version.held.test(index))
             continue;
         const auto found = best_source(version, index, now);
@@ -103,7 +103,7 @@
             continue;
         source = found;
         chosen = index;
-        fewest = chunk.holders;
+        min_holders = chunk.holders;
     }
     if (!source)
         return false;
@@ -137,48 +137,49 @@
 
 bool swarm::may_read_origin(const version_record& version, std::uint32_t index,
                             instant now) const {
-    const chunk_role& role = version.roles->role(index);
+    const chunk_role& role = version.assignment->role(index);
     const chunk_record& chunk = version.chunks[index];
-    if (role.origin_rank < version.roles->origin_copies()) {
-        const auto heard = version.active.size();
-        const auto expected = version.roles->neighbours().size();
-        if (heard * 2 < expected && now - version.requested_since < join_grace)
+    if (role.origin_rank < version.assignment->origin_copies()) {
+        const auto announced = version.active.size();
+        const auto expected = version.assignment->neighbours().size();
+        if (announced * 2 < expected &&
+            now - version.requested_since < join_grace)
             return false;
         const bool is_first = role.origin_rank == 0;
         return !has_trusted_holder(version, index, !is_first, now);
     }
-    if (!version.roles->has_backup_readers())
+    if (!version.assignment->has_backup_readers())
         return false;
-    const auto fallback =
-        stall_timeout(version.description->chunk_bytes) * fallback_stalls;
+    const auto fallback = stall_timeout(version.description->chunk_bytes) *
+                          fallback_stall_timeouts;
     const bool is_reader = role.origin_rank != chunk_role::none;
-    const int turn = is_reader ? stand_in_fallbacks + role.origin_rank
-                               : last_resort_fallbacks + role.owner_rank;
-    const bool blocked_long = is_set(chunk.blocked_since) &&
-                              now - chunk.blocked_since > fallback * turn;
-    const bool stagnant =
-        now - version.progress > fallback * (turn + stagnation_fallbacks);
-    return (blocked_long || stagnant) &&
+    const int turn = is_reader ? backup_reader_fallbacks + role.origin_rank
+                               : non_reader_fallbacks + role.owner_rank;
+    const bool is_blocked_long = is_set(chunk.blocked_since) &&
+                                 now - chunk.blocked_since > fallback * turn;
+    const bool is_stagnant =
+        now - version.last_progress > fallback * (turn + stagnation_fallbacks);
+    return (is_blocked_long || is_stagnant) &&
            !has_trusted_holder(version, index, false, now);
 }
 
-bool swarm::may_cross(const version_record& version, std::uint32_t index,
-                      instant now) const {
-    const chunk_role& role = version.roles->role(index);
+bool swarm::may_fetch_remote(const version_record& version, std::uint32_t index,
+                             instant now) const {
+    const chunk_role& role = version.assignment->role(index);
     if (role.owner_rank == 0)
         return true;
     const instant since = version.chunks[index].blocked_since;
     if (!is_set(since))
         return false;
     const auto stall = stall_timeout(version.description->chunk_bytes);
-    const auto turn = stall / owner_turns_per_stall * (role.owner_rank - 1);
-    return now - since > stall * owner_stalls + turn;
+    const auto turn = stall / owners_per_stall_timeout * (role.owner_rank - 1);
+    return now - since > stall * owner_stall_timeouts + turn;
 }
 
 std::optional<swarm::peer_id> swarm::best_source(const version_record& version,
                                                  std::uint32_t index,
                                                  instant now) const {
-    const bool may_leave = may_cross(version, index, now);
+    const bool allow_remote = may_fetch_remote(version, index, now);
     std::optional<peer_id> best;
     const auto key_of = [this](peer_id id) {
         const peer_record& peer = at(id);
@@ -188,10 +189,10 @@
         const peer_view& view = version.views[static_cast<std::size_t>(id)];
         const peer_record& peer = at(id);
         const std::uint32_t limit =
-            peer.proven ? options_.max_requests_per_peer : 1;
+            peer.has_delivered ? options_.max_requests_per_peer : 1;
         if (!view.held.test(index) || !is_usable(id, now) ||
-            peer.outstanding >= limit || (!peer.is_local && !may_leave) ||
-            !version.roles->may_ask(peer.name))
+            peer.outstanding >= limit || (!peer.is_local && !allow_remote) ||
+            !version.assignment->may_ask(peer.name))
             continue;
         if (!best || key_of(id) < key_of(*best))
             best = id;
@@ -208,21 +209,23 @@
         version.active.begin(), version.active.end(), [&](peer_id id) {
             const peer_view& view = version.views[static_cast<std::size_t>(id)];
             return view.held.test(index) && is_usable(id, now) &&
-                   at(id).strikes == 0 && (!local_only || at(id).is_local);
+                   at(id).failure_count == 0 &&
+                   (!local_only || at(id).is_local);
         });
 }
 
 // ---- Missing sources -------------------------------------------------------
 
-void swarm::check_blocked(version_record& version, instant now) {
-    if (!version.description || now - version.checked < check_interval)
+void swarm::update_blocked_chunks(version_record& version, instant now) {
+    if (!version.description ||
+        now - version.last_blocked_check < check_interval)
         return;
-    version.checked = now;
+    version.last_blocked_check = now;
     for (std::uint32_t index = 0; index < version.chunks.size(); ++index) {
         chunk_record& chunk = version.chunks[index];
         if (version.held.test(index) || chunk.in_flight > 0)
             continue;
-        const bool is_owner = version.roles->role(index).owner_rank == 0;
+        const bool is_owner = version.assignment->role(index).owner_rank == 0;
         const bool is_blocked =
             chunk.holders > 0 &&
             !has_trusted_holder(version, index, !is_owner, now);
@@ -233,25 +236,26 @@
     }
 }
 
-void swarm::check_silence(version_record& version, instant now) {
-    if (!version.description || !version.roles->is_reader() ||
+void swarm::update_silent_readers(version_record& version, instant now) {
+    if (!version.description || !version.assignment->is_reader() ||
         version.held.is_full())
         return;
-    const auto limit = options_.keepalive_interval * silent_keepalives;
+    const auto limit = options_.keepalive_interval * max_missed_keepalives;
     std::vector<std::string> silent;
-    for (const std::string& reader : version.roles->readers()) {
+    for (const std::string& reader : version.assignment->readers()) {
         if (reader == self_)
             continue;
-        const peer_id id = peer_of(reader);
+        const peer_id id = find_or_add_peer(reader);
         const peer_view& view = view_of(version, id);
-        const instant heard = std::max(at(id).heard, version.requested_since);
-        if (!view.is_complete() && now - heard > limit)
+        const instant last_received =
+            std::max(at(id).last_received, version.requested_since);
+        if (!view.is_complete() && now - last_received > limit)
             silent.push_back(reader);
     }
-    if (silent == version.silent)
+    if (silent == version.silent_readers)
         return;
-    version.silent = std::move(silent);
-    place(version);
+    version.silent_readers = std::move(silent);
+    update_assignment(version);
 }
 
 } // namespace ospreystage
--- a/src/weights/swarm_requests.cpp
+++ b/src/weights/swarm_requests.cpp
@@ -8,37 +8,37 @@
 namespace {
 
 /// Times the time of one chunk on the link that an answer may take.
-constexpr std::uint64_t stall_chunks = 16;
+constexpr std::uint64_t stall_timeout_chunks = 16;
 constexpr milliseconds max_stall_timeout{30'000};
 /// The shell reports failures of the origin; this bounds lost reports.
 constexpr milliseconds origin_timeout{60'000};
-constexpr milliseconds idle_wake{50};
+constexpr milliseconds max_wake_interval{50};
 
 } // namespace
 
 instant swarm::next_wake(instant now) const {
-    instant wake = now + idle_wake;
+    instant wake = now + max_wake_interval;
     const auto consider = [&](instant due) {
         if (due > now)
             wake = std::min(wake, due);
     };
-    consider(upload_.ready_at());
-    consider(download_.ready_at());
+    consider(upload_bucket_.ready_at());
+    consider(download_bucket_.ready_at());
     for (const request_record& request : requests_)
         consider(request.deadline);
     for (const version_record& version : versions_)
-        consider(version.announced + announce_interval(version));
+        consider(version.last_announcement + announce_interval(version));
     return wake;
 }
 
 std::vector<swarm_action> swarm::tick(instant now) {
-    upload_.advance(now);
-    download_.advance(now);
-    expire(now);
+    upload_bucket_.advance(now);
+    download_bucket_.advance(now);
+    expire_requests(now);
     for (version_record& version : versions_) {
         plan_manifest(version, now);
-        check_silence(version, now);
-        check_blocked(version, now);
+        update_silent_readers(version, now);
+        update_blocked_chunks(version, now);
     }
     plan_downloads(now);
     for (version_record& version : versions_)
@@ -50,7 +50,7 @@
     if (budget_.bytes_per_second == 0)
         return options_.min_stall_timeout;
     const std::uint64_t crossings = budget_.shared_directions ? 2 : 1;
-    const std::uint64_t limit_ms = stall_chunks * crossings * bytes *
+    const std::uint64_t limit_ms = stall_timeout_chunks * crossings * bytes *
                                    std::uint64_t{milliseconds::period::den} /
                                    budget_.bytes_per_second;
     return std::clamp(milliseconds(limit_ms), options_.min_stall_timeout,
@@ -58,8 +58,8 @@
 }
 
 std::optional<swarm::request_record>
-swarm::take_request(const chunk_source& source, const digest& version,
-                    std::uint32_t index) {
+swarm::remove_request(const chunk_source& source, const digest& version,
+                      std::uint32_t index) {
     const auto found = std::find_if(
         requests_.begin(), requests_.end(), [&](const request_record& entry) {
             return entry.index == index && entry.source == source &&
@@ -76,43 +76,43 @@
     if (const auto* peer = std::get_if<peer_source>(&request.source)) {
         --peer_requests_;
         peer_request_bytes_ -= request.bytes;
-        --at(peer_of(peer->name)).outstanding;
+        --at(find_or_add_peer(peer->name)).outstanding;
     } else {
         --origin_requests_;
     }
     if (refund) {
         download_bucket().give_back(request.bytes);
-        taken_down_ -= request.bytes;
+        downloaded_bytes_ -= request.bytes;
     }
     version_record* version = find(request.version);
     if (version != nullptr && version->description)
         --version->chunks[request.index].in_flight;
 }
 
-void swarm::expire(instant now) {
-    std::vector<request_record> late;
+void swarm::expire_requests(instant now) {
+    std::vector<request_record> timed_out;
     for (const request_record& request : requests_)
         if (request.deadline <= now)
-            late.push_back(request);
-    for (const request_record& request : late) {
-        if (!take_request(request.source, request.version, request.index))
+            timed_out.push_back(request);
+    for (const request_record& request : timed_out) {
+        if (!remove_request(request.source, request.version, request.index))
             continue;
         release(request, true);
         ++counters_.timeouts;
         const auto* source = std::get_if<peer_source>(&request.source);
         if (source == nullptr) {
-            origin_avoided_until_ = now + options_.origin_pause;
+            origin_backoff_until_ = now + options_.origin_backoff;
             continue;
         }
-        const peer_id id = peer_of(source->name);
+        const peer_id id = find_or_add_peer(source->name);
         // A peer that has delivered meanwhile is slow, not stalled.
-        if (at(id).delivered > request.started) {
-            at(id).avoided_until = now + options_.refusal_pause;
+        if (at(id).last_delivery > request.started) {
+            at(id).backoff_until = now + options_.refusal_backoff;
             continue;
         }
         mark_blocked(request);
         if (is_usable(id, now)) {
-            strike(id, now);
+            record_failure(id, now);
             actions_.emplace_back(reconnect_peer{source->name});
         }
     }
@@ -135,7 +135,7 @@
     if (const auto* peer = std::get_if<peer_source>(&source)) {
         ++peer_requests_;
         peer_request_bytes_ += bytes;
-        ++at(peer_of(peer->name)).outstanding;
+        ++at(find_or_add_peer(peer->name)).outstanding;
         request.deadline += stall_timeout(bytes);
     } else {
         ++origin_requests_;
@@ -143,14 +143,14 @@
     }
     ++version.chunks[index].in_flight;
     download_bucket().take(bytes);
-    taken_down_ += bytes;
+    downloaded_bytes_ += bytes;
     requests_.push_back(std::move(request));
     actions_.emplace_back(
         fetch_chunk{std::move(source), version.id, index, bytes});
 }
 
 token_bucket& swarm::download_bucket() {
-    return budget_.shared_directions ? upload_ : download_;
+    return budget_.shared_directions ? upload_bucket_ : download_bucket_;
 }
 
 bool swarm::may_fetch_from_peers(const version_record& v) const {
--- a/src/weights/swarm_uploads.cpp
+++ b/src/weights/swarm_uploads.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t announce_overhead_bytes = 130;
 constexpr milliseconds max_announce_interval{1000};
 constexpr milliseconds manifest_timeout{1000};
-constexpr milliseconds manifest_pause{100};
+constexpr milliseconds manifest_backoff{100};
 /// An agent that found no peer with the manifest asks the origin.
 constexpr milliseconds manifest_fallback{10'000};
 
@@ -39,8 +39,8 @@
     auto next = uploads_.pop();
     if (!next)
         return false;
-    upload_.take(next->bytes);
-    taken_up_ += next->bytes;
+    upload_bucket_.take(next->bytes);
+    uploaded_bytes_ += next->bytes;
     ++counters_.served;
     actions_.emplace_back(std::move(*next));
     return true;
@@ -54,7 +54,7 @@
     if (record == nullptr || record->manifest_source != source)
         return;
     record->manifest_source.reset();
-    record->manifest_retry = now + manifest_pause;
+    record->manifest_retry_at = now + manifest_backoff;
 }
 
 void swarm::plan_manifest(version_record& version, instant now) {
@@ -62,7 +62,7 @@
         return;
     if (version.manifest_source && now >= version.manifest_deadline)
         on_manifest_failed(version.id, *version.manifest_source, now);
-    if (version.manifest_source || now < version.manifest_retry)
+    if (version.manifest_source || now < version.manifest_retry_at)
         return;
     std::vector<peer_id> holders;
     for (const peer_id id : version.active)
@@ -71,7 +71,7 @@
     if (!holders.empty()) {
         const peer_id chosen = holders[random_() % holders.size()];
         version.manifest_source = peer_source{at(chosen).name};
-    } else if (version.roles->is_reader() ||
+    } else if (version.assignment->is_reader() ||
                now - version.requested_since > manifest_fallback) {
         version.manifest_source = origin_source{};
     } else {
@@ -88,7 +88,7 @@
         return options_.announce_interval;
     const std::uint64_t bytes =
         (announce_overhead_bytes + version.held.bytes().size()) *
-        version.roles->neighbours().size();
+        version.assignment->neighbours().size();
     const std::uint64_t interval_ms = bytes * announce_divisor *
                                       std::uint64_t{milliseconds::period::den} /
                                       budget_.bytes_per_second;
@@ -97,47 +97,49 @@
 }
 
 void swarm::plan_announcements(version_record& version, instant now) {
-    const bool is_due = now - version.announced >= announce_interval(version);
+    const bool is_due =
+        now - version.last_announcement >= announce_interval(version);
     std::vector<std::string> targets;
     const std::uint32_t state =
         version.description ? version.held.count() + 2 : 1;
-    const auto tell = [&](peer_id id) {
+    const auto add_target = [&](peer_id id) {
         peer_view& view = view_of(version, id);
-        view.announced = state;
-        view.told = now;
+        view.announced_state = state;
+        view.last_announced = now;
         targets.push_back(at(id).name);
     };
-    const auto needs = [&](peer_id id) {
+    const auto needs_announcement = [&](peer_id id) {
         const peer_view& view = view_of(version, id);
-        return !view.is_complete() && view.announced != state &&
+        return !view.is_complete() && view.announced_state != state &&
                at(id).is_member;
     };
     if (is_due || version.announce_now) {
-        version.announced = now;
+        version.last_announcement = now;
         version.announce_now = false;
-        for (const std::string& name : version.roles->neighbours())
-            if (const peer_id id = peer_of(name); needs(id))
-                tell(id);
-        const std::vector<peer_id> followers = version.active;
-        for (const peer_id id : followers)
-            if (needs(id))
-                tell(id);
-        if (version.roles->is_reader()) {
-            for (const std::string& name : version.roles->readers()) {
+        for (const std::string& name : version.assignment->neighbours())
+            if (const peer_id id = find_or_add_peer(name);
+                needs_announcement(id))
+                add_target(id);
+        const std::vector<peer_id> active_peers = version.active;
+        for (const peer_id id : active_peers)
+            if (needs_announcement(id))
+                add_target(id);
+        if (version.assignment->is_reader()) {
+            for (const std::string& name : version.assignment->readers()) {
                 if (name == self_)
                     continue;
-                const peer_id id = peer_of(name);
+                const peer_id id = find_or_add_peer(name);
                 const peer_view& view = view_of(version, id);
                 const bool is_stale =
-                    now - view.told >= options_.keepalive_interval;
-                if (needs(id) || (is_stale && !view.is_complete()))
-                    tell(id);
+                    now - view.last_announced >= options_.keepalive_interval;
+                if (needs_announcement(id) || (is_stale && !view.is_complete()))
+                    add_target(id);
             }
         }
     }
-    for (const std::string& owner : std::exchange(version.owners_to_tell, {}))
-        if (const peer_id id = peer_of(owner); needs(id))
-            tell(id);
+    for (const std::string& owner : std::exchange(version.owners_to_notify, {}))
+        if (const peer_id id = find_or_add_peer(owner); needs_announcement(id))
+            add_target(id);
     if (!targets.empty())
         actions_.emplace_back(announce_chunks{std::move(targets), version.id});
 }
--- a/tests/distribution.cpp
+++ b/tests/distribution.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr seconds patience{30};
+constexpr seconds completion_timeout{30};
 constexpr std::uint32_t chunk_bytes = 64 * 1024;
 constexpr std::uint64_t link_rate = 8 * 1024 * 1024;
 constexpr std::uint64_t origin_rate = 2 * link_rate;
@@ -60,13 +60,13 @@
 
     [[nodiscard]] std::string bytes(const std::string& name,
                                     const weights_version& version) const {
-        std::string whole;
+        std::string content;
         const distribution& spread = service(*nodes_.at(name));
         const auto count =
             static_cast<std::uint32_t>(version.description.chunks.size());
         for (std::uint32_t index = 0; index < count; ++index)
-            whole += spread.read_chunk(version.version, index).value();
-        return whole;
+            content += spread.read_chunk(version.version, index).value();
+        return content;
     }
 
     [[nodiscard]] std::uint64_t corrupt_chunks() const {
@@ -101,12 +101,12 @@
         return node.core.find<distribution>("distribution");
     }
 
-    void add(const std::string& name, std::uint32_t centre) {
+    void add(const std::string& name, std::uint32_t data_centre_index) {
         const std::uint16_t port = free_port();
         auto node = std::make_unique<local_node>(name, port, 1);
         settings& own = node->configuration;
         own.process.role = process_role::agent;
-        own.process.data_centre = "dc-" + std::to_string(centre);
+        own.process.data_centre = "dc-" + std::to_string(data_centre_index);
         own.origin.url = origin.url();
         own.distribution.link_bytes_per_second = link_rate;
         node->link_layer->set_directory([this](const std::string& peer) {
@@ -134,10 +134,10 @@
 };
 
 std::string all_bytes(const weights_spec& spec) {
-    std::string whole;
+    std::string content;
     for (std::uint32_t index = 0; index * chunk_bytes < spec.bytes; ++index)
-        whole += weights_chunk(spec, index);
-    return whole;
+        content += weights_chunk(spec, index);
+    return content;
 }
 
 } // namespace
@@ -147,7 +147,8 @@
     const digest version = fleet.publish(model);
     fleet.start();
     fleet.request_versions({{version, 1}});
-    REQUIRE(eventually(patience, [&] { return fleet.complete(version); }));
+    REQUIRE(eventually(completion_timeout,
+                       [&] { return fleet.complete(version); }));
     CHECK(fleet.bytes("agent-4", describe(model)) == all_bytes(model));
     CHECK(fleet.origin_copies(version) <= 1.05);
 }
@@ -158,7 +159,8 @@
     fleet.origin.post("/control/faults", {{"corrupt_percent", 5}});
     fleet.start();
     fleet.request_versions({{version, 1}});
-    REQUIRE(eventually(patience, [&] { return fleet.complete(version); }));
+    REQUIRE(eventually(completion_timeout,
+                       [&] { return fleet.complete(version); }));
     CHECK(fleet.corrupt_chunks() > 0);
     CHECK(fleet.bytes("agent-1", describe(model)) == all_bytes(model));
 }
@@ -169,10 +171,11 @@
     const digest second = fleet.publish(successor);
     fleet.start();
     fleet.request_versions({{first, 1}});
-    REQUIRE(
-        eventually(patience, [&] { return fleet.origin_copies(first) > 0.2; }));
+    REQUIRE(eventually(completion_timeout,
+                       [&] { return fleet.origin_copies(first) > 0.2; }));
     fleet.request_versions({{second, 1}});
-    REQUIRE(eventually(patience, [&] { return fleet.complete(second); }));
+    REQUIRE(
+        eventually(completion_timeout, [&] { return fleet.complete(second); }));
     CHECK(fleet.origin_copies(first) < 1);
     CHECK_FALSE(fleet.complete(first));
     CHECK(fleet.bytes("agent-2", describe(successor)) == all_bytes(successor));
@@ -183,10 +186,10 @@
     const digest version = fleet.publish(model);
     fleet.start();
     fleet.request_versions({{version, 1}});
-    REQUIRE(eventually(patience,
+    REQUIRE(eventually(completion_timeout,
                        [&] { return fleet.origin_copies(version) > 0.3; }));
     fleet.stop("agent-3");
-    CHECK(eventually(patience,
+    CHECK(eventually(completion_timeout,
                      [&] { return fleet.complete(version, "agent-3"); }));
 }
 
@@ -195,8 +198,9 @@
     const digest version = fleet.publish(model);
     fleet.start();
     fleet.request_versions({{version, 1}});
-    REQUIRE(eventually(patience,
+    REQUIRE(eventually(completion_timeout,
                        [&] { return fleet.origin_copies(version) >= 1; }));
     fleet.origin.post("/control/faults", {{"down", true}});
-    CHECK(eventually(patience, [&] { return fleet.complete(version); }));
+    CHECK(eventually(completion_timeout,
+                     [&] { return fleet.complete(version); }));
 }
--- a/tests/engine_loader.cpp
+++ b/tests/engine_loader.cpp
@@ -22,9 +22,9 @@
 }
 
 /// An agent that holds version 2, beside an engine with `in_use`.
-engine_loader holding(std::uint64_t in_use, instant turn) {
+engine_loader holding(std::uint64_t in_use, instant switch_at) {
     engine_loader loader;
-    loader.request_version(2, chunks, turn);
+    loader.request_version(2, chunks, switch_at);
     loader.on_held(2);
     loader.on_report({in_use, false, 5, 1}, start);
     return loader;
@@ -75,15 +75,15 @@
 }
 
 TEST_CASE("engine loader - a serving engine waits for its turn") {
-    const instant turn = start + seconds(3);
-    engine_loader loader = holding(1, turn);
+    const instant switch_at = start + seconds(3);
+    engine_loader loader = holding(1, switch_at);
     stage_all(loader, start);
     CHECK(is<std::monostate>(loader.next(start + seconds(2))));
-    CHECK(is<announce_switch>(loader.next(turn)));
-    loader.on_done(true, turn);
+    CHECK(is<announce_switch>(loader.next(switch_at)));
+    loader.on_done(true, switch_at);
     CHECK(loader.is_announced());
-    CHECK(is<std::monostate>(loader.next(turn + milliseconds(100))));
-    const instant later = turn + milliseconds(300);
+    CHECK(is<std::monostate>(loader.next(switch_at + milliseconds(100))));
+    const instant later = switch_at + milliseconds(300);
     stage_all(loader, later);
     CHECK(is<order_switch>(loader.next(later)));
 }
@@ -115,9 +115,9 @@
 }
 
 TEST_CASE("engine loader - turns are spread over the time that is left") {
-    CHECK(switch_turn(0, 5, seconds(2), seconds(6)) == seconds(2));
-    CHECK(switch_turn(2, 5, seconds(2), seconds(6)) == seconds(4));
-    CHECK(switch_turn(4, 5, seconds(2), seconds(6)) == seconds(6));
-    CHECK(switch_turn(9, 5, seconds(2), seconds(6)) == seconds(6));
-    CHECK(switch_turn(0, 1, seconds(2), seconds(6)) == seconds(2));
+    CHECK(switch_delay(0, 5, seconds(2), seconds(6)) == seconds(2));
+    CHECK(switch_delay(2, 5, seconds(2), seconds(6)) == seconds(4));
+    CHECK(switch_delay(4, 5, seconds(2), seconds(6)) == seconds(6));
+    CHECK(switch_delay(9, 5, seconds(2), seconds(6)) == seconds(6));
+    CHECK(switch_delay(0, 1, seconds(2), seconds(6)) == seconds(2));
 }
--- a/tests/support/swarm_experiment.cpp
+++ b/tests/support/swarm_experiment.cpp
@@ -22,7 +22,7 @@
 constexpr std::uint32_t slices_per_chunk = 8;
 constexpr double have_overhead_bytes = 130;
 constexpr double request_bytes = 90;
-constexpr int give_up_windows = 20;
+constexpr int max_windows = 20;
 
 struct node_record {
     std::unique_ptr<swarm> decisions;
@@ -59,16 +59,16 @@
     };
 
     void at(instant when, std::function<void()> run);
-    void add_node(const std::string& name, std::uint32_t centre);
-    void tell_members();
-    void plan_faults();
+    void add_node(const std::string& name, std::uint32_t data_centre_index);
+    void update_members();
+    void schedule_faults();
     void kill(const std::string& name);
     void update(const std::string& name);
     void perform(const std::string& name, const swarm_action& action);
     void fetch(const std::string& name, const fetch_chunk& action);
     void serve(const std::string& name, const serve_chunk& action);
     void announce(const std::string& name, const announce_chunks& action);
-    void give_manifest(const std::string& name);
+    void deliver_manifest(const std::string& name);
     void read_slice();
     void arrive(const std::string& name, const chunk_source& source,
                 std::uint32_t index, instant when);
@@ -111,21 +111,22 @@
     slice_time_ = of(chunk_seconds / origin_link_copies / slices_per_chunk);
     for (std::uint32_t index = 0; index < scenario.members; ++index)
         add_node(fmt::format("agent-{}", index), index % data_centres);
-    tell_members();
-    plan_faults();
+    update_members();
+    schedule_faults();
 }
 
 void experiment::at(instant when, std::function<void()> run) {
     events_.push({std::max(when, now_), sequence_++, std::move(run)});
 }
 
-void experiment::add_node(const std::string& name, std::uint32_t centre) {
+void experiment::add_node(const std::string& name,
+                          std::uint32_t data_centre_index) {
     swarm_options options = scenario_.options;
     options.strategy = scenario_.strategy;
     options.seed = scenario_.seed;
     node_record& node = nodes_[name];
     node.decisions = std::make_unique<swarm>(options, name);
-    node.member = {name, fmt::format("dc-{}", centre)};
+    node.member = {name, fmt::format("dc-{}", data_centre_index)};
     link_budget budget;
     budget.bytes_per_second = static_cast<std::uint64_t>(
         scenario_.chunk_bytes /
@@ -135,7 +136,7 @@
     node.decisions->set_requested({{version_, 1}}, now_);
 }
 
-void experiment::tell_members() {
+void experiment::update_members() {
     std::vector<swarm_member> members;
     for (const auto& [name, node] : nodes_)
         if (node.is_alive)
@@ -148,7 +149,7 @@
     }
 }
 
-void experiment::plan_faults() {
+void experiment::schedule_faults() {
     const auto spread = scenario_.window / 2;
     for (std::uint32_t index = 0; index < scenario_.killed; ++index) {
         const std::string name = fmt::format("agent-{}", index * 9 + 4);
@@ -165,15 +166,15 @@
 void experiment::kill(const std::string& name) {
     node_record& node = nodes_.at(name);
     node.is_alive = false;
-    const auto centre =
+    const auto data_centre_index =
         static_cast<std::uint32_t>(node.member.data_centre.back() - '0');
     for (auto& [other, peer] : nodes_)
         if (peer.is_alive && !node.is_silent)
             peer.decisions->on_peer_down(name, now_);
-    at(now_ + scenario_.membership_lag, [this, name, centre] {
-        add_node(name + "-new", centre);
+    at(now_ + scenario_.membership_lag, [this, name, data_centre_index] {
+        add_node(name + "-new", data_centre_index);
         nodes_.at(name + "-new").is_original = false;
-        tell_members();
+        update_members();
     });
 }
 
@@ -203,7 +204,7 @@
     else if (const auto* have = std::get_if<announce_chunks>(&action))
         announce(name, *have);
     else if (std::holds_alternative<fetch_manifest>(action))
-        give_manifest(name);
+        deliver_manifest(name);
     else if (const auto* refused = std::get_if<refuse_chunk>(&action))
         send(name, refused->peer, request_bytes,
              [this, name, index = refused->index](swarm& peer) {
@@ -296,7 +297,7 @@
         });
 }
 
-void experiment::give_manifest(const std::string& name) {
+void experiment::deliver_manifest(const std::string& name) {
     at(now_ + 2 * latency, [this, name] {
         node_record& node = nodes_.at(name);
         if (!node.is_alive)
@@ -335,7 +336,7 @@
 }
 
 swarm_measurement experiment::run() {
-    const instant end = start_ + scenario_.window * give_up_windows;
+    const instant end = start_ + scenario_.window * max_windows;
     while (!events_.empty() && now_ < end && !is_done()) {
         const event next = events_.top();
         events_.pop();
@@ -355,7 +356,7 @@
         result.counters.refused += seen.refused;
         result.counters.timeouts += seen.timeouts;
         result.counters.duplicates += seen.duplicates;
-        result.counters.stood_in += seen.stood_in;
+        result.counters.backup_reads += seen.backup_reads;
         control += node.control_bytes;
         if (!node.is_alive || node.is_silent || !node.is_original)
             continue;
--- a/tests/support/weights.cpp
+++ b/tests/support/weights.cpp
@@ -87,13 +87,13 @@
     weights_version result;
     result.description.total_bytes = spec.bytes;
     result.description.chunk_bytes = spec.chunk_bytes;
-    sha256_stream whole;
+    sha256_stream all_bytes;
     for (std::uint32_t index = 0; index < chunk_count(spec); ++index) {
         const std::string chunk = weights_chunk(spec, index);
-        whole.update(chunk.data(), chunk.size());
+        all_bytes.update(chunk.data(), chunk.size());
         result.description.chunks.push_back(sha256(chunk));
     }
-    result.weights_digest = whole.finish();
+    result.weights_digest = all_bytes.finish();
     result.version = version_of(result.description);
     return result;
 }
--- a/tests/swarm.cpp
+++ b/tests/swarm.cpp
@@ -32,11 +32,11 @@
 }
 
 template <typename Action>
-std::vector<Action> only(const std::vector<swarm_action>& actions) {
+std::vector<Action> actions_of(const std::vector<swarm_action>& actions) {
     std::vector<Action> chosen;
     for (const swarm_action& action : actions)
-        if (const auto* wanted = std::get_if<Action>(&action))
-            chosen.push_back(*wanted);
+        if (const auto* match = std::get_if<Action>(&action))
+            chosen.push_back(*match);
     return chosen;
 }
 
@@ -58,20 +58,20 @@
         decisions.set_requested({{version, 1}}, now);
     }
 
-    void know_manifest(std::uint32_t chunks) {
+    void receive_manifest(std::uint32_t chunks) {
         decisions.on_manifest(version, make_description(chunks), {}, now);
     }
 
     /// Lets time pass in steps and collects the requests for chunks.
-    std::vector<fetch_chunk> pass(milliseconds time) {
+    std::vector<fetch_chunk> advance(milliseconds time) {
         std::vector<fetch_chunk> fetched;
         const instant end = now + time;
         for (; now < end; now += milliseconds(10)) {
             const auto actions = decisions.tick(now);
-            for (const auto& action : only<fetch_chunk>(actions))
+            for (const auto& action : actions_of<fetch_chunk>(actions))
                 fetched.push_back(action);
-            for (const auto& action : only<reconnect_peer>(actions))
-                given_up.push_back(action.peer);
+            for (const auto& action : actions_of<reconnect_peer>(actions))
+                reconnected.push_back(action.peer);
         }
         return fetched;
     }
@@ -83,25 +83,25 @@
 
     instant now = instant(seconds(100));
     swarm decisions;
-    std::vector<std::string> given_up;
+    std::vector<std::string> reconnected;
 };
 
 } // namespace
 
 TEST_CASE("swarm - a corrupt chunk of a peer is fetched from another one") {
     fixture agent(one_data_centre(3));
-    agent.know_manifest(1);
+    agent.receive_manifest(1);
     agent.decisions.on_have("agent-0", version, full(1), agent.now);
-    const auto first = agent.pass(milliseconds(20));
+    const auto first = agent.advance(milliseconds(20));
     REQUIRE(first.size() == 1);
     REQUIRE(is_from(first[0], "agent-0"));
     agent.finish(first[0], fetch_outcome::corrupt);
-    for (const fetch_chunk& action : agent.pass(milliseconds(500))) {
+    for (const fetch_chunk& action : agent.advance(milliseconds(500))) {
         CHECK(is_from_origin(action));
         agent.finish(action, fetch_outcome::failed);
     }
     agent.decisions.on_have("agent-2", version, full(1), agent.now);
-    const auto second = agent.pass(milliseconds(20));
+    const auto second = agent.advance(milliseconds(20));
     REQUIRE(second.size() == 1);
     CHECK(is_from(second[0], "agent-2"));
     CHECK(agent.decisions.counters().corrupt == 1);
@@ -113,12 +113,12 @@
 TEST_CASE("swarm - a corrupt chunk of the origin is read again") {
     fixture agent(one_data_centre(1));
     agent.decisions.set_members({{self, "dc-0"}}, agent.now);
-    agent.know_manifest(1);
-    const auto first = agent.pass(milliseconds(500));
+    agent.receive_manifest(1);
+    const auto first = agent.advance(milliseconds(500));
     REQUIRE(first.size() == 1);
     REQUIRE(is_from_origin(first[0]));
     agent.finish(first[0], fetch_outcome::corrupt);
-    const auto second = agent.pass(milliseconds(1000));
+    const auto second = agent.advance(milliseconds(1000));
     REQUIRE(second.size() == 1);
     CHECK(is_from_origin(second[0]));
     CHECK_FALSE(agent.decisions.complete(version));
@@ -126,27 +126,27 @@
 
 TEST_CASE("swarm - a request to a peer that dies goes to another one") {
     fixture agent(one_data_centre(3));
-    agent.know_manifest(1);
+    agent.receive_manifest(1);
     agent.decisions.on_have("agent-0", version, full(1), agent.now);
-    REQUIRE(agent.pass(milliseconds(20)).size() == 1);
+    REQUIRE(agent.advance(milliseconds(20)).size() == 1);
     agent.decisions.on_have("agent-2", version, full(1), agent.now);
     agent.decisions.on_peer_down("agent-0", agent.now);
-    const auto second = agent.pass(milliseconds(20));
+    const auto second = agent.advance(milliseconds(20));
     REQUIRE(second.size() == 1);
     CHECK(is_from(second[0], "agent-2"));
 }
 
 TEST_CASE("swarm - a stalled peer is given up after the stall timeout") {
     fixture agent(one_data_centre(3));
-    agent.know_manifest(1);
+    agent.receive_manifest(1);
     agent.decisions.on_have("agent-0", version, full(1), agent.now);
-    REQUIRE(agent.pass(milliseconds(20)).size() == 1);
-    CHECK(agent.pass(milliseconds(900)).empty());
-    CHECK(agent.given_up.empty());
-    agent.pass(milliseconds(200));
-    CHECK(agent.given_up == std::vector<std::string>{"agent-0"});
+    REQUIRE(agent.advance(milliseconds(20)).size() == 1);
+    CHECK(agent.advance(milliseconds(900)).empty());
+    CHECK(agent.reconnected.empty());
+    agent.advance(milliseconds(200));
+    CHECK(agent.reconnected == std::vector<std::string>{"agent-0"});
     agent.decisions.on_have("agent-2", version, full(1), agent.now);
-    const auto next = agent.pass(milliseconds(3000));
+    const auto next = agent.advance(milliseconds(3000));
     REQUIRE_FALSE(next.empty());
     CHECK(std::all_of(next.begin(), next.end(), [](const auto& action) {
         return is_from(action, "agent-2");
@@ -155,13 +155,13 @@
 
 TEST_CASE("swarm - chunks still come from peers when the origin is gone") {
     fixture agent(one_data_centre(2));
-    agent.know_manifest(4);
-    auto reads = agent.pass(milliseconds(400));
+    agent.receive_manifest(4);
+    auto reads = agent.advance(milliseconds(400));
     for (const fetch_chunk& action : reads)
         agent.finish(action, fetch_outcome::failed);
     agent.decisions.on_have("agent-0", version, full(4), agent.now);
     for (int round = 0; round < 20; ++round)
-        for (const fetch_chunk& action : agent.pass(milliseconds(100)))
+        for (const fetch_chunk& action : agent.advance(milliseconds(100)))
             agent.finish(action, is_from_origin(action)
                                      ? fetch_outcome::failed
                                      : fetch_outcome::stored);
@@ -171,25 +171,26 @@
 
 TEST_CASE("swarm - a replaced version stops at once") {
     fixture agent(one_data_centre(3));
-    agent.know_manifest(8);
+    agent.receive_manifest(8);
     agent.decisions.on_have("agent-0", version, full(8), agent.now);
-    const auto first = agent.pass(milliseconds(20));
+    const auto first = agent.advance(milliseconds(20));
     REQUIRE_FALSE(first.empty());
     agent.finish(first[0], fetch_outcome::stored);
     agent.decisions.set_requested({{other_version, 1}}, agent.now);
     agent.finish(first.back(), fetch_outcome::stored);
-    CHECK(agent.pass(milliseconds(3000)).empty());
-    CHECK(agent.given_up.empty());
+    CHECK(agent.advance(milliseconds(3000)).empty());
+    CHECK(agent.reconnected.empty());
     CHECK(agent.decisions.held(version).count() == 0);
     agent.decisions.on_request("agent-2", 1, version, first[0].index);
-    CHECK(only<refuse_chunk>(agent.decisions.tick(agent.now)).size() == 1);
+    CHECK(actions_of<refuse_chunk>(agent.decisions.tick(agent.now)).size() ==
+          1);
 }
 
 TEST_CASE("swarm - the version of the highest priority is fetched first") {
     fixture agent(one_data_centre(3));
     agent.decisions.set_requested({{version, 1}, {other_version, 9}},
                                   agent.now);
-    agent.know_manifest(32);
+    agent.receive_manifest(32);
     agent.decisions.on_manifest(other_version, make_description(4), {},
                                 agent.now);
     for (const std::string peer : {"agent-0", "agent-2"}) {
@@ -198,7 +199,7 @@
     }
     std::vector<digest> order;
     for (int round = 0; round < 40; ++round)
-        for (const fetch_chunk& action : agent.pass(milliseconds(10))) {
+        for (const fetch_chunk& action : agent.advance(milliseconds(10))) {
             order.push_back(action.version);
             agent.finish(action, fetch_outcome::stored);
         }
@@ -209,12 +210,12 @@
 TEST_CASE("swarm - never asks for more than the budget of the link") {
     fixture agent(one_data_centre(3));
     agent.decisions.set_budget({10'000, false}, agent.now);
-    agent.know_manifest(200);
+    agent.receive_manifest(200);
     agent.decisions.on_have("agent-0", version, full(200), agent.now);
     agent.decisions.on_have("agent-2", version, full(200), agent.now);
     std::uint64_t bytes = 0;
     for (int round = 0; round < 200; ++round)
-        for (const fetch_chunk& action : agent.pass(milliseconds(10))) {
+        for (const fetch_chunk& action : agent.advance(milliseconds(10))) {
             bytes += action.bytes;
             agent.finish(action, fetch_outcome::stored);
         }
@@ -225,13 +226,13 @@
 TEST_CASE("swarm - a lowered budget holds from then on") {
     fixture agent(one_data_centre(3));
     agent.decisions.set_budget({100'000, false}, agent.now);
-    agent.know_manifest(400);
+    agent.receive_manifest(400);
     agent.decisions.on_have("agent-0", version, full(400), agent.now);
     agent.decisions.on_have("agent-2", version, full(400), agent.now);
     agent.decisions.set_budget({10'000, false}, agent.now);
     std::uint64_t bytes = 0;
     for (int round = 0; round < 100; ++round)
-        for (const fetch_chunk& action : agent.pass(milliseconds(10))) {
+        for (const fetch_chunk& action : agent.advance(milliseconds(10))) {
             bytes += action.bytes;
             agent.finish(action, fetch_outcome::stored);
         }
@@ -250,8 +251,8 @@
             agent.decisions.on_request("agent-" + std::to_string(peer), 1,
                                        version, 0);
         const auto actions = agent.decisions.tick(agent.now);
-        served += only<serve_chunk>(actions).size();
-        refused += only<refuse_chunk>(actions).size();
+        served += actions_of<serve_chunk>(actions).size();
+        refused += actions_of<refuse_chunk>(actions).size();
         agent.now += milliseconds(10);
     }
     CHECK(served <= 12);
@@ -261,11 +262,11 @@
 
 TEST_CASE("swarm - completes beside a peer that sends nothing") {
     fixture agent(one_data_centre(4));
-    agent.know_manifest(16);
+    agent.receive_manifest(16);
     for (const std::string peer : {"agent-0", "agent-2", "agent-3"})
         agent.decisions.on_have(peer, version, full(16), agent.now);
     for (int round = 0; round < 300; ++round)
-        for (const fetch_chunk& action : agent.pass(milliseconds(10)))
+        for (const fetch_chunk& action : agent.advance(milliseconds(10)))
             if (!is_from(action, "agent-0"))
                 agent.finish(action, fetch_outcome::stored);
     CHECK(agent.decisions.complete(version));
--- a/tests/swarm_spread.cpp
+++ b/tests/swarm_spread.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr double max_board_ratio = 1.25;
-constexpr double max_board_copies = 4;
-constexpr double max_tokachi_ratio = 1.5;
-constexpr double max_tokachi_copies = 1.05;
+constexpr double four_copies_max_ratio = 1.25;
+constexpr double four_copies_max_origin_copies = 4;
+constexpr double one_copy_max_ratio = 1.5;
+constexpr double one_copy_max_origin_copies = 1.05;
 constexpr double max_faulty_ratio = 2;
 constexpr double max_faulty_copies = 1.25;
 /// A chunk enters each of the two other data centres about once.
@@ -27,9 +27,9 @@
     return scenario;
 }
 
-void check_complete(const swarm_measurement& seen) {
-    CAPTURE(seen.time_ratio, seen.origin_copies, seen.remote_copies);
-    CHECK(seen.completed == seen.survivors);
+void check_complete(const swarm_measurement& result) {
+    CAPTURE(result.time_ratio, result.origin_copies, result.remote_copies);
+    CHECK(result.completed == result.survivors);
 }
 
 } // namespace
@@ -37,23 +37,23 @@
 TEST_CASE("swarm_spread - Board: near the limit of the links") {
     const auto members = GENERATE(8U, 24U, 72U);
     const bool shared = GENERATE(false, true);
-    const auto seen = run_experiment(scenario_of(members, shared, 4));
+    const auto result = run_experiment(scenario_of(members, shared, 4));
     CAPTURE(members, shared);
-    check_complete(seen);
-    CHECK(seen.time_ratio <= max_board_ratio);
-    CHECK(seen.origin_copies <= max_board_copies);
-    CHECK(seen.remote_copies <= max_remote_copies);
+    check_complete(result);
+    CHECK(result.time_ratio <= four_copies_max_ratio);
+    CHECK(result.origin_copies <= four_copies_max_origin_copies);
+    CHECK(result.remote_copies <= max_remote_copies);
 }
 
 TEST_CASE("swarm_spread - Tokachi: one copy from the origin") {
     const auto members = GENERATE(8U, 24U, 72U);
     const bool shared = GENERATE(false, true);
-    const auto seen = run_experiment(scenario_of(members, shared, 1));
+    const auto result = run_experiment(scenario_of(members, shared, 1));
     CAPTURE(members, shared);
-    check_complete(seen);
-    CHECK(seen.time_ratio <= max_tokachi_ratio);
-    CHECK(seen.origin_copies <= max_tokachi_copies);
-    CHECK(seen.remote_copies <= max_remote_copies);
+    check_complete(result);
+    CHECK(result.time_ratio <= one_copy_max_ratio);
+    CHECK(result.origin_copies <= one_copy_max_origin_copies);
+    CHECK(result.remote_copies <= max_remote_copies);
 }
 
 TEST_CASE("swarm_spread - Tokachi: kills, stalls and corrupt chunks") {
@@ -65,38 +65,38 @@
     scenario.killed = members / 10;
     scenario.stalled = members / 10;
     scenario.corrupt_per_mille = 10;
-    const auto seen = run_experiment(scenario);
+    const auto result = run_experiment(scenario);
     CAPTURE(members, shared, seed);
-    check_complete(seen);
-    CHECK(seen.counters.corrupt > 0);
-    CHECK(seen.time_ratio <= max_faulty_ratio);
-    CHECK(seen.origin_copies <= max_faulty_copies);
+    check_complete(result);
+    CHECK(result.counters.corrupt > 0);
+    CHECK(result.time_ratio <= max_faulty_ratio);
+    CHECK(result.origin_copies <= max_faulty_copies);
 }
 
 TEST_CASE("swarm_spread - completes after the origin gave one copy") {
     const auto members = GENERATE(8U, 72U);
     swarm_scenario scenario = scenario_of(members, false, 1);
     scenario.origin_copies_available = 1;
-    const auto seen = run_experiment(scenario);
-    check_complete(seen);
-    CHECK(seen.origin_copies <= 1);
+    const auto result = run_experiment(scenario);
+    check_complete(result);
+    CHECK(result.origin_copies <= 1);
 }
 
 TEST_CASE("swarm_spread - better than every agent at the origin or a tree") {
     const auto members = GENERATE(8U, 24U);
-    const auto seen = run_experiment(scenario_of(members, false, 1));
+    const auto result = run_experiment(scenario_of(members, false, 1));
     swarm_scenario baseline = scenario_of(members, false, 1);
     baseline.strategy = direct_strategy{};
     const auto direct = run_experiment(baseline);
     baseline.strategy = tree_strategy{};
     const auto tree = run_experiment(baseline);
     CAPTURE(members, direct.time_ratio, tree.time_ratio);
-    check_complete(seen);
+    check_complete(result);
     check_complete(direct);
     check_complete(tree);
     CHECK(direct.origin_copies == Approx(members));
-    CHECK(seen.time_ratio < direct.time_ratio);
-    CHECK(seen.time_ratio < tree.time_ratio);
+    CHECK(result.time_ratio < direct.time_ratio);
+    CHECK(result.time_ratio < tree.time_ratio);
 }
 
 TEST_CASE("swarm_spread - control bytes stay flat from 270 to 600 members") {
