--- a/include/ospreystage/weights/chunk_store.hpp
+++ b/include/ospreystage/weights/chunk_store.hpp
@@ -14,7 +14,7 @@
 
 namespace ospreystage {
 
-/// Keeps the chunks of a version in the memory of the process.
+/// Chunk backend that stores versions in process memory.
 class memory_chunks {
   public:
     [[nodiscard]] leaf::result<void> open(const digest& version,
@@ -29,7 +29,8 @@
     absl::flat_hash_map<digest, std::string> contents_;
 };
 
-/// Keeps the chunks of a version in one file of a memory-backed folder.
+/// Chunk backend that stores each version in one file of a memory-backed
+/// directory.
 class file_chunks {
   public:
     explicit file_chunks(std::string folder);
@@ -54,10 +55,11 @@
     absl::flat_hash_map<digest, int> descriptors_;
 };
 
-/// Where the bytes of the chunks lie.
+/// Storage backend for chunk bytes.
 using chunk_backend = std::variant<memory_chunks, file_chunks>;
 
-/// Checked chunks of versions; never returns a chunk that was not checked.
+/// Store of verified chunks; never returns a chunk whose digest was not
+/// verified.
 ///
 /// All functions may be called from any thread.
 ///
@@ -75,13 +77,13 @@
     /// Returns true if the manifest of `version` is known.
     [[nodiscard]] bool contains(const digest& version) const;
 
-    /// Returns true if chunk `index` was stored.
+    /// Returns true if chunk `index` is stored.
     [[nodiscard]] bool has(const digest& version, std::uint32_t index) const;
 
     /// Returns the stored chunks; an empty set for an unknown version.
     [[nodiscard]] chunk_bitmap bitmap(const digest& version) const;
 
-    /// Returns true if every chunk was stored.
+    /// Returns true if every chunk is stored.
     [[nodiscard]] bool complete(const digest& version) const;
 
     /// Returns the canonical text of the manifest, or `not_found`.
@@ -94,19 +96,19 @@
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Adds a version that has no chunks yet; no effect if it is known.
+    /// Adds a version without chunks; has no effect if the version is known.
     [[nodiscard]] leaf::result<void> add(const digest& version,
                                          const manifest& description);
 
-    /// Checks the SHA-256 of `data` and stores it.
+    /// Verifies the SHA-256 of `data` and stores it as chunk `index`.
     ///
-    /// Errors: `not_found` for an unknown version or index, `malformed` for
-    /// other bytes than the manifest describes, `unavailable` if the backend
-    /// cannot keep them. Storing a chunk twice is no error.
+    /// Errors: `not_found` for an unknown version or index, `malformed` if the
+    /// bytes do not match the manifest, `unavailable` if the backend cannot
+    /// store them. Storing a chunk twice is not an error.
     [[nodiscard]] leaf::result<void>
     put(const digest& version, std::uint32_t index, const std::string& data);
 
-    /// Forgets a version and frees its bytes.
+    /// Drops a version and frees its bytes.
     void drop(const digest& version);
 
   private:
--- a/include/ospreystage/weights/distribution.hpp
+++ b/include/ospreystage/weights/distribution.hpp
@@ -20,17 +20,17 @@
 
 namespace ospreystage {
 
-/// Service that brings the requested versions to this VM and serves them to
+/// Service that downloads the requested versions to this VM and serves them to
 /// peers.
 ///
-/// Binds the decisions of `swarm` to `links`, the origin and `chunk_store`.
-/// Register it as "distribution" after "network" and "links", then call
-/// `start` before `links::start`. From then on, on the kernel thread:
+/// Connects the decision logic of `swarm` to `links`, the origin and
+/// `chunk_store`. Register it as "distribution" after "network" and "links",
+/// then call `start` before `links::start`. From then on, on the kernel thread:
 /// `set_members` whenever the table of members changes, `request_versions`
-/// whenever the document in force changes, and `yield_link` whenever the load
-/// of requests on the link changes. Peers are addressed by process name through
-/// the directory of `links`. `manifest_text` and `read_chunk` answer the HTTP
-/// endpoint that the engine pulls from, on any thread.
+/// whenever the document in force changes, and `set_request_bandwidth` whenever
+/// the bandwidth used by requests changes. Peers are addressed by process name
+/// through the directory of `links`. `manifest_text` and `read_chunk` serve the
+/// HTTP endpoint from which the engine pulls, on any thread.
 ///
 ///     auto& spread = core.add("distribution",
 ///         std::make_unique<distribution>(core, configuration));
@@ -45,7 +45,7 @@
     // ---- Construction ------------------------------------------------------
 
     distribution(kernel& core, const settings& configuration);
-    /// Reads from an origin with another layout; see `set_origin`.
+    /// Uses the paths of `layout` on the origin; `set_origin` sets its address.
     distribution(kernel& core, const settings& configuration,
                  origin_layout layout);
     ~distribution();
@@ -55,31 +55,31 @@
     /// Subscribes to the messages of peers and starts the timer.
     void start();
 
-    /// Calls `handler` (kernel thread) when a version has become complete.
+    /// Calls `handler` on the kernel thread when a version becomes complete.
     void on_complete(completion_handler handler);
 
     // ---- Modifiers (kernel thread) -----------------------------------------
 
-    /// Reads from the origin at `url` from now on.
+    /// Sets the address of the origin for later reads.
     void set_origin(const std::string& url);
 
-    /// Takes a manifest that was read elsewhere, for the next
-    /// `request_versions`.
+    /// Supplies a manifest from another source for the next `request_versions`.
     ///
-    /// `chunks` are some that are at hand; wrong ones are dropped.
+    /// `chunks` are chunks that are already available; those that do not match
+    /// the manifest are dropped.
     void add_manifest(const digest& version, const std::string& json,
                       chunk_list chunks);
 
-    /// Sets the members; agents that are alive or suspect take part.
+    /// Sets the members; agents in the state alive or suspect take part.
     void set_members(const std::vector<member>& members);
 
-    /// Sets the versions to hold; all others are dropped at once.
+    /// Sets the versions to hold; drops all others immediately.
     ///
-    /// A version that has not the form of a digest is ignored.
+    /// Versions that are not valid digests are ignored.
     void request_versions(const std::vector<requested_version>& versions);
 
-    /// Leaves room for requests that now take `bytes_per_second` of the link;
-    /// an eighth of the link stays with the distribution.
+    /// Reserves `bytes_per_second` of the link for requests; distribution
+    /// always keeps at least an eighth of the link.
     void set_request_bandwidth(std::uint64_t bytes_per_second);
 
     // ---- Observers (kernel thread) -----------------------------------------
@@ -89,19 +89,19 @@
 
     // ---- Observers (any thread) --------------------------------------------
 
-    /// Returns true if every chunk of `version` is held and was checked.
+    /// Returns true if every chunk of `version` is held and verified.
     [[nodiscard]] bool complete(const digest& version) const;
 
     /// Returns the manifest of a held version, or `not_found`.
     [[nodiscard]] leaf::result<std::string>
     manifest_text(const digest& version) const;
 
-    /// Returns a checked chunk, or `not_found`.
+    /// Returns a verified chunk, or `not_found`.
     [[nodiscard]] leaf::result<std::string>
     read_chunk(const digest& version, std::uint32_t index) const;
 
   private:
-    /// A manifest with chunks that are at hand.
+    /// Manifest with chunks that are already available.
     struct known_manifest {
         std::string json;
         chunk_list chunks;
@@ -147,7 +147,8 @@
     absl::flat_hash_map<digest, known_manifest> known_manifests_;
     std::optional<timer_id> timer_;
     instant wake_{};
-    std::uint64_t unsent_uploads_ = 0; ///< Uploads that a peer did not read.
+    /// Uploads dropped because the peer read too slowly.
+    std::uint64_t unsent_uploads_ = 0;
     origin_client origin_;
     worker_pool origin_pool_;
     worker_pool check_pool_;
--- a/include/ospreystage/weights/engine_loader.hpp
+++ b/include/ospreystage/weights/engine_loader.hpp
@@ -10,47 +10,50 @@
 
 namespace ospreystage {
 
-/// What an engine says of itself.
+/// State reported by an engine.
 struct engine_state_report {
-    std::uint64_t version = 0; ///< Whole version in use; 0: none.
+    std::uint64_t version = 0; ///< Complete version in use; 0: none.
     bool is_loading = false;   ///< An order is in progress.
     std::uint64_t orders = 0;  ///< Orders accepted since the engine's start.
     std::int64_t started_unix_ms = 0; ///< Changes with each start.
 };
 
-/// Compare what lies staged at the engine with the checked chunks.
+/// Compare the chunks staged at the engine with the verified chunks.
 struct check_staged {};
-/// Tell the entries that the engine takes no new requests.
+/// Announce to the entries that the engine accepts no new requests.
 struct announce_switch {};
 /// Stage these chunks at the engine.
 struct stage_chunks {
     std::vector<std::uint32_t> indexes;
 };
-/// Order the engine to put the staged version into use.
+/// Order the engine to switch to the staged version.
 struct order_switch {
     std::uint64_t version = 0;
-    std::uint64_t orders_before = 0; ///< The order is void if this differs.
+    /// The order is void if the engine's count of orders differs.
+    std::uint64_t orders_before = 0;
 };
 
 using loader_action = std::variant<std::monostate, announce_switch,
                                    check_staged, stage_chunks, order_switch>;
 
-/// Decides when the weights at one engine are staged, checked and ordered in.
+/// Decides when weights are staged and compared at one engine, and when the
+/// engine is ordered to switch to them.
 ///
-/// Staged chunks may turn bad or get lost with the engine's memory, so they
-/// are compared right before each order; only the missing ones are staged
-/// again. An engine without weights is ordered at once. One that works with an
-/// older version waits for its turn, so that not all of them stop at the same
-/// time.
+/// Staged chunks may become corrupt or be lost with the engine's memory, so
+/// they are compared immediately before each order; only missing chunks are
+/// staged again. An engine without weights is ordered to switch immediately. An
+/// engine that serves an older version waits for its switch time, so that not
+/// all engines stop serving at the same time.
 class engine_loader {
   public:
     struct options {
-        /// Age at which a comparison must be made again before an order.
+        /// Maximum age of a comparison when an order is sent.
         milliseconds max_check_age{600};
         /// Time between the announcement of a switch and its order, in which
-        /// what the entries have sent arrives and what waits begins to run.
+        /// requests that entries have already sent arrive and queued requests
+        /// start to run.
         milliseconds announce_lead{200};
-        /// Pause after an order or a call that did not succeed.
+        /// Backoff after a failed order or call.
         milliseconds retry_backoff{300};
     };
 
@@ -59,28 +62,30 @@
 
     // ---- Events ------------------------------------------------------------
 
-    /// Sets the requested version of `chunks` chunks; an engine with another
-    /// one switches at `turn`.
+    /// Sets the requested version, which has `chunks` chunks; an engine that
+    /// serves another version switches no earlier than `switch_at`.
     void request_version(std::uint64_t version, std::uint32_t chunks,
                          instant switch_at);
 
-    /// Every chunk of the requested version is held and checked.
+    /// Records that every chunk of `version` is held and verified.
     void on_held(std::uint64_t version);
 
     void on_report(const engine_state_report& report, instant now);
 
-    /// The chunks that lie staged as they should.
+    /// Records which staged chunks match the manifest.
     void on_checked(const chunk_bitmap& good, instant now);
 
-    /// An action ended; after a failure it is tried again later.
+    /// Records the end of an action; a failed action is retried after the
+    /// backoff.
     void on_done(bool succeeded, instant now);
 
     // ---- Decision ----------------------------------------------------------
 
-    /// Returns what is to be done now; one action is under way at a time.
+    /// Returns the next action; only one action is in progress at a time.
     [[nodiscard]] loader_action next(instant now);
 
-    /// Returns true from the announcement of a switch until it has begun.
+    /// Returns true from the announcement of a switch until the engine begins
+    /// it.
     [[nodiscard]] bool is_announced() const noexcept {
         return announced_at_.has_value();
     }
@@ -102,9 +107,10 @@
     bool is_busy_ = false;
 };
 
-/// Returns when the engine of rank `rank` of `count` gives up its version.
+/// Returns the time after the publication at which the engine of rank `rank`
+/// among `count` engines switches.
 ///
-/// The turns are spread from `first` to `last` after the publication.
+/// The delays are spread evenly from `first` to `last`.
 [[nodiscard]] milliseconds switch_delay(std::size_t rank, std::size_t count,
                                         milliseconds first, milliseconds last);
 
--- a/include/ospreystage/weights/engine_service.hpp
+++ b/include/ospreystage/weights/engine_service.hpp
@@ -16,13 +16,13 @@
 
 namespace ospreystage {
 
-/// Compares the engine of this VM with its target and orders what differs.
+/// Reconciles the state of this VM's engine with its target.
 ///
-/// A thread of its own polls the engine; decisions run on the kernel thread.
-/// Every order carries the agent's incarnation as its fencing number.
+/// A dedicated thread polls the engine; decisions run on the kernel thread.
+/// Every order carries the agent's incarnation as its fencing token.
 class engine_service {
   public:
-    /// What the service needs; all called on the kernel thread.
+    /// Callbacks of the service; all run on the kernel thread.
     struct dependencies {
         std::function<engine_target(const engine_state&)> target;
         std::function<void(const engine_state&, std::vector<std::uint64_t>)>
@@ -41,7 +41,7 @@
     /// Starts polling; call it once the kernel is about to run.
     void start();
 
-    /// Ends polling and waits for the thread.
+    /// Stops polling and joins the thread.
     void stop();
 
     // ---- Observers ---------------------------------------------------------
--- a/include/ospreystage/weights/engine_state.hpp
+++ b/include/ospreystage/weights/engine_state.hpp
@@ -12,11 +12,12 @@
 
 namespace ospreystage {
 
-/// What a model engine says of itself.
+/// State reported by a model engine.
 struct engine_state {
-    std::uint64_t fence = 0; ///< Highest fencing number seen, if it checks.
+    /// Highest fencing token seen, if the engine checks them.
+    std::uint64_t fence = 0;
     std::string role;
-    std::set<digest> held;    ///< Versions that can answer.
+    std::set<digest> held;    ///< Versions that can serve requests.
     std::set<digest> loading; ///< Versions being loaded.
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
@@ -42,18 +43,19 @@
 
 using engine_order = std::variant<load_version, drop_version>;
 
-/// What the engine should hold, as far as this VM is concerned.
+/// Target state of the engine, as known to this VM.
 struct engine_target {
     std::vector<digest> requested; ///< From the document, by priority.
-    std::set<digest> complete;     ///< Whole in the agent's chunk store.
+    std::set<digest> complete;     ///< Complete in the agent's chunk store.
     std::set<digest> in_use;       ///< Versions that running attempts use.
 };
 
-/// Compares state and target; the orders are repeated until nothing differs.
+/// Returns the orders that bring `state` closer to `target`; none if nothing
+/// differs. They are sent again on each poll until then.
 ///
 /// Loads what is requested and complete; drops what is held, not requested and
-/// not in use. A version is dropped only after every complete requested version
-/// is held, so that the old one answers until the new one does.
+/// not in use. A version is dropped only after every requested version is held,
+/// so that the old version serves requests until the new one can.
 [[nodiscard]] std::vector<engine_order> reconcile(const engine_state& state,
                                                   const engine_target& target);
 
--- a/include/ospreystage/weights/manifest.hpp
+++ b/include/ospreystage/weights/manifest.hpp
@@ -9,7 +9,7 @@
 
 namespace ospreystage {
 
-/// Chunks of one model version; its own digest is the version's identity.
+/// Manifest of one model version; the digest of its JSON form identifies it.
 struct manifest {
     std::uint64_t total_bytes = 0;
     std::uint32_t chunk_bytes = 0; ///< Size of every chunk but the last.
@@ -21,7 +21,8 @@
     [[nodiscard]] std::uint32_t chunk_size(std::uint32_t index) const noexcept;
 };
 
-/// Largest chunk in bytes; a frame that carries one stays below the limit.
+/// Maximum chunk size in bytes; a frame with one chunk stays below the frame
+/// size limit.
 inline constexpr std::uint32_t max_chunk_bytes = 4 * 1024 * 1024;
 
 /// Encodes the manifest in its canonical JSON form.
@@ -35,7 +36,7 @@
 [[nodiscard]] manifest make_manifest(const std::string& bytes,
                                      std::uint32_t chunk_bytes);
 
-/// Returns the digest that identifies the version `value` describes.
+/// Returns the digest that identifies the version described by `value`.
 [[nodiscard]] digest version_of(const manifest& value);
 
 } // namespace ospreystage
--- a/include/ospreystage/weights/origin_client.hpp
+++ b/include/ospreystage/weights/origin_client.hpp
@@ -21,30 +21,31 @@
 
 namespace ospreystage {
 
-/// Paths at which an origin offers versions.
+/// URL paths of manifests and chunks on an origin.
 struct origin_layout {
     std::function<std::string(const digest& version)> manifest;
     std::function<std::string(const digest& version, std::uint32_t index)>
         chunk;
 };
 
-/// Reads manifests and chunks from the origin over HTTP; does not check them.
+/// Reads manifests and chunks from the origin over HTTP without verifying them.
 ///
-/// Calls block; they may come from several threads and keep connections open
-/// between them.
+/// Calls block and may be made from several threads; connections are kept open
+/// and reused.
 class origin_client {
   public:
     // ---- Construction ------------------------------------------------------
 
-    /// Reads from `url` (`http://host:port` or with a path after it).
+    /// Uses the default paths below `url` (`http://host:port`, optionally with
+    /// a path).
     explicit origin_client(const std::string& url);
-    /// Reads with the paths of `layout`; `set_url` follows.
+    /// Uses the paths of `layout`; `set_url` sets the address.
     explicit origin_client(origin_layout layout);
     ~origin_client();
     origin_client(const origin_client&) = delete;
     origin_client& operator=(const origin_client&) = delete;
 
-    /// Reads from another address from now on; may be called from any thread.
+    /// Sets the address for later calls; may be called from any thread.
     void set_url(const std::string& url);
 
     // ---- Calls -------------------------------------------------------------
@@ -58,7 +59,7 @@
     [[nodiscard]] leaf::result<std::string> chunk(const digest& version,
                                                   std::uint32_t index);
 
-    /// Breaks off the calls in progress and fails later ones.
+    /// Cancels the calls in progress; later calls fail.
     void stop();
 
   private:
--- a/include/ospreystage/weights/swarm.hpp
+++ b/include/ospreystage/weights/swarm.hpp
@@ -18,7 +18,7 @@
 
 namespace ospreystage {
 
-/// A version that this agent shall hold.
+/// Version that this agent must hold.
 struct requested_version {
     digest version;
     std::uint32_t priority = 0; ///< Higher is fetched and served first.
@@ -26,11 +26,13 @@
                            const requested_version&) = default;
 };
 
-/// Decides which chunk is fetched when and from whom, and which is served.
+/// Decides which chunks to fetch, when and from which source, and which to
+/// serve.
 ///
-/// Has no sockets, threads or clock: the inputs carry the time, `tick` returns
-/// what is to be done. The shell reports every `fetch_chunk` by `on_fetched`,
-/// also after a failure; a late report of a request that timed out is allowed.
+/// Has no sockets, threads or clock: the current time is an argument, and
+/// `tick` returns the actions to perform. The service that performs them
+/// reports the outcome of every `fetch_chunk` by `on_fetched`, also after a
+/// failure; a late report of a request that timed out is allowed.
 ///
 ///     swarm decisions(options, "agent-1");
 ///     decisions.set_members(members, now);
@@ -51,7 +53,7 @@
     /// Returns the held chunks; empty if the manifest is not known yet.
     [[nodiscard]] chunk_bitmap held(const digest& version) const;
 
-    /// Returns the time at which `tick` has something to do at the latest.
+    /// Returns the latest time at which `tick` must be called again.
     [[nodiscard]] instant next_wake(instant now) const;
 
     [[nodiscard]] const swarm_counters& counters() const noexcept;
@@ -59,67 +61,71 @@
 
     // ---- Configuration -----------------------------------------------------
 
-    /// Sets the live agents; this one may be among them or not.
+    /// Sets the live agents; this agent may or may not be among them.
     void set_members(std::vector<swarm_member> members, instant now);
 
-    /// Sets the versions to hold; everything about others is dropped.
+    /// Sets the versions to hold; drops all state of other versions.
     void set_requested(const std::vector<requested_version>& requested,
                        instant now);
 
-    /// Sets the share of the link that may be used from now on.
+    /// Sets the share of the link that distribution may use.
     void set_budget(const link_budget& budget, instant now);
 
     // ---- Events ------------------------------------------------------------
 
-    /// The manifest was checked; `held` are the chunks already stored.
+    /// Adds a verified manifest; `held` are the chunks already stored.
     void on_manifest(const digest& version, const manifest& description,
                      const chunk_bitmap& held, instant now);
 
-    /// A source did not give the manifest.
+    /// Records that a source did not deliver the manifest.
     void on_manifest_failed(const digest& version, const chunk_source& source,
                             instant now);
 
-    /// A peer told which chunks it has; `chunks` is 0 if it has no manifest.
+    /// Records the chunks that a peer announced; `held` has size 0 if the peer
+    /// has no manifest.
     void on_have(const std::string& peer, const digest& version,
                  const chunk_bitmap& held, instant now);
 
-    /// A request for a chunk ended.
+    /// Records the outcome of a request for a chunk.
     void on_fetched(const chunk_source& source, const digest& version,
                     std::uint32_t index, fetch_outcome outcome, instant now);
 
-    /// A peer asks for a chunk on `connection`.
+    /// Handles a peer's request for a chunk on `connection`.
     void on_request(const std::string& peer, std::uint64_t connection,
                     const digest& version, std::uint32_t index);
 
-    /// The connection to a peer ended; its answers will not come.
+    /// Records that the connection to a peer ended; cancels the requests that
+    /// are outstanding to it.
     void on_peer_down(const std::string& peer, instant now);
 
     /// Returns the actions that are due.
     [[nodiscard]] std::vector<swarm_action> tick(instant now);
 
   private:
-    /// Addresses a record of `peers_`.
+    /// Index into `peers_`.
     enum class peer_id : std::uint32_t {};
 
     struct peer_record {
         std::string name;
         bool is_member = false;
         bool is_local = false;
-        bool has_delivered = false; ///< Has delivered a chunk.
+        bool has_delivered = false; ///< A chunk, since its last failure.
         std::uint32_t outstanding = 0;
         std::uint32_t failure_count = 0;
-        instant backoff_until{};     ///< It gave no or bad answers.
-        instant unreachable_until{}; ///< Its connection ended.
+        instant backoff_until{};     ///< After failures and refusals.
+        instant unreachable_until{}; ///< After its connection ended.
         instant last_delivery{};
         instant last_received{};
-        microseconds latency{}; ///< Smoothed time to an answer.
+        microseconds latency{}; ///< Smoothed response time.
     };
 
-    /// What is known of a peer for one version.
+    /// State of a peer for one version.
     struct peer_view {
         chunk_bitmap held;
-        bool active = false;               ///< It has announced the version.
-        std::uint32_t announced_state = 0; ///< Own count last told, plus one.
+        bool active = false; ///< The peer announced the version.
+        /// Own state last announced to the peer; 0: none, 1: without manifest,
+        /// otherwise the number of held chunks plus 2.
+        std::uint32_t announced_state = 0;
         instant last_announced{};
 
         [[nodiscard]] bool is_complete() const noexcept {
@@ -128,9 +134,9 @@
     };
 
     struct chunk_record {
-        std::uint16_t holders = 0; ///< Active peers that have it.
+        std::uint16_t holders = 0; ///< Active peers that hold the chunk.
         std::uint16_t in_flight = 0;
-        instant blocked_since{}; ///< Known elsewhere, no source to ask.
+        instant blocked_since{}; ///< Held by peers, but none can be asked.
     };
 
     struct version_record {
@@ -140,18 +146,19 @@
         chunk_bitmap held;
         std::vector<chunk_record> chunks;
         std::vector<std::uint32_t> order; ///< Random, differs by agent.
-        std::vector<peer_view> views;     ///< By peer_id.
+        std::vector<peer_view> views;     ///< Indexed by peer_id.
         std::vector<peer_id> active;
         std::optional<chunk_assignment> assignment;
-        std::vector<std::string>
-            silent_readers; ///< Readers that others replace.
+        /// Readers that are replaced by backup readers.
+        std::vector<std::string> silent_readers;
         std::vector<std::string> owners_to_notify;
         bool announce_now = false;
         instant last_announcement{};
         instant requested_since{};
-        instant last_progress{}; ///< Last chunk stored.
+        instant last_progress{}; ///< When the last chunk was stored.
         instant last_blocked_check{};
-        std::optional<chunk_source> manifest_source; ///< Outstanding.
+        /// Source of the outstanding manifest request.
+        std::optional<chunk_source> manifest_source;
         instant manifest_deadline{};
         instant manifest_retry_at{};
     };
@@ -188,7 +195,8 @@
                    std::uint32_t index);
     void release(const request_record& request, bool refund);
     void expire_requests(instant now);
-    /// Counts the time that a silent source took as time without a source.
+    /// Counts the time spent waiting for an unresponsive source as time without
+    /// a source.
     void mark_blocked(const request_record& request);
     void start_request(version_record& version, std::uint32_t index,
                        chunk_source source, instant now);
--- a/include/ospreystage/weights/swarm_types.hpp
+++ b/include/ospreystage/weights/swarm_types.hpp
@@ -13,14 +13,14 @@
 
 /// Share of the link that distribution may use.
 struct link_budget {
-    /// Bytes per second in each direction, or of both if they share the link;
-    /// 0: unlimited.
+    /// Bytes per second in each direction, or in total if both directions share
+    /// the link; 0: unlimited.
     std::uint64_t bytes_per_second = 0;
     bool shared_directions = false;
     friend bool operator==(const link_budget&, const link_budget&) = default;
 };
 
-/// Limits and timeouts of the decision module.
+/// Limits and timeouts of `swarm`.
 struct swarm_options {
     distribution_strategy strategy = rendezvous_strategy{};
     std::uint64_t seed = 1; ///< Breaks ties; differs from agent to agent.
@@ -28,18 +28,18 @@
     std::uint32_t max_requests = 8;          ///< Outstanding to peers.
     std::uint32_t max_requests_per_peer = 2; ///< Outstanding to one peer.
     std::uint32_t max_origin_requests = 1;   ///< Outstanding to the origin.
-    /// Outstanding to peers; bounds the memory that replies take.
+    /// Bytes outstanding to peers; bounds the memory used by replies.
     std::uint64_t max_request_bytes = 4 * 1024 * 1024;
-    std::uint32_t max_uploads_queued = 3; ///< Requests of peers.
+    std::uint32_t max_uploads_queued = 3; ///< Requests from peers.
 
-    milliseconds announce_interval{50};   ///< Between two `announce`.
-    milliseconds keepalive_interval{500}; ///< Of readers among each other.
-    milliseconds min_stall_timeout{1000}; ///< A source gave no answer.
-    milliseconds refusal_backoff{50};     ///< After a refusal of a peer.
-    milliseconds failure_backoff{5000};   ///< After a bad or missing answer.
+    milliseconds announce_interval{50};   ///< Between announcements.
+    milliseconds keepalive_interval{500}; ///< Between readers.
+    milliseconds min_stall_timeout{1000}; ///< Lower bound of the stall timeout.
+    milliseconds refusal_backoff{50};     ///< After a peer refused.
+    milliseconds failure_backoff{5000}; ///< After a failure; doubles each time.
     milliseconds max_failure_backoff{60'000};
     milliseconds reconnect_backoff{500}; ///< After a connection ended.
-    milliseconds origin_backoff{500};    ///< After a failure of the origin.
+    milliseconds origin_backoff{500};    ///< After a failed origin read.
 };
 
 /// Source of chunks: a peer by name.
@@ -60,11 +60,11 @@
 enum class fetch_outcome : std::uint8_t {
     stored,  ///< The chunk was checked and stored.
     corrupt, ///< The bytes differ from the manifest.
-    refused, ///< The source does not have it or has too much to do.
-    failed,  ///< The source could not be reached.
+    refused, ///< The source lacks the chunk or is overloaded.
+    failed,  ///< The source is unreachable.
 };
 
-/// Ask `source` for a chunk.
+/// Request a chunk from `source`.
 struct fetch_chunk {
     chunk_source source;
     digest version;
@@ -72,29 +72,29 @@
     std::uint32_t bytes = 0;
 };
 
-/// Ask `source` for the manifest of a version.
+/// Request the manifest of a version from `source`.
 struct fetch_manifest {
     chunk_source source;
     digest version;
 };
 
-/// Tell `peers` which chunks of a version this agent has.
+/// Announce to `peers` which chunks of a version this agent holds.
 struct announce_chunks {
     std::vector<std::string> peers;
     digest version;
 };
 
-/// Send a chunk to a peer that asked for it.
+/// Send a chunk to a peer that requested it.
 struct serve_chunk {
     std::string peer;
-    std::uint64_t connection = 0; ///< As given with the request.
+    std::uint64_t connection = 0; ///< Connection of the request.
     digest version;
     std::uint32_t index = 0;
     std::uint32_t bytes = 0;
     std::uint32_t priority = 0; ///< Of the version; higher goes first.
 };
 
-/// Tell a peer that a chunk will not be sent.
+/// Refuse a peer's request for a chunk.
 struct refuse_chunk {
     std::string peer;
     std::uint64_t connection = 0;
@@ -102,12 +102,12 @@
     std::uint32_t index = 0;
 };
 
-/// A peer gave no answer in time: its connection should be opened anew.
+/// Reopen the connection to a peer that did not answer in time.
 struct reconnect_peer {
     std::string peer;
 };
 
-/// What the shell has to do.
+/// Action to be performed by the service that owns the `swarm`.
 using swarm_action = std::variant<fetch_chunk, fetch_manifest, announce_chunks,
                                   serve_chunk, refuse_chunk, reconnect_peer>;
 
@@ -117,11 +117,11 @@
     std::uint64_t from_remote = 0;  ///< Chunks from other data centres.
     std::uint64_t from_origin = 0;  ///< Chunks.
     std::uint64_t served = 0;       ///< Chunks.
-    std::uint64_t corrupt = 0;      ///< Bad chunks received.
+    std::uint64_t corrupt = 0;      ///< Corrupt chunks received.
     std::uint64_t refused = 0;      ///< Requests that a peer refused.
     std::uint64_t timeouts = 0;     ///< Requests without an answer.
     std::uint64_t duplicates = 0;   ///< Chunks received twice.
-    std::uint64_t backup_reads = 0; ///< Origin reads in place of another.
+    std::uint64_t backup_reads = 0; ///< Origin reads as a backup reader.
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/weights/upload_queue.hpp
+++ b/include/ospreystage/weights/upload_queue.hpp
@@ -13,11 +13,12 @@
 
 namespace ospreystage {
 
-/// Requests of peers that wait for the link, served one at a time.
+/// Queue of peer requests waiting for upload bandwidth, served one at a time.
 ///
-/// Versions of a higher priority go first. Within a version, requests go in
-/// order of arrival, but a chunk that was sent often lets later ones pass, so
-/// that new chunks spread first and no request waits for ever.
+/// Versions of higher priority are served first. Within a version, requests are
+/// served in order of arrival, but later requests overtake a request for a
+/// chunk that was sent often. New chunks are therefore distributed first, and
+/// no request starves.
 class upload_queue {
   public:
     // ---- Observers ---------------------------------------------------------
@@ -27,16 +28,17 @@
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Adds a request; a repeat of a waiting one replaces it.
+    /// Adds a request; replaces a pending request of the same peer for the same
+    /// chunk.
     void push(serve_chunk request);
 
-    /// Takes the request to serve next.
+    /// Removes and returns the request to serve next.
     [[nodiscard]] std::optional<serve_chunk> pop();
 
     /// Drops the requests of a peer.
     void drop_peer(const std::string& peer);
 
-    /// Drops the requests for a version and its counts.
+    /// Drops the requests for a version and its upload counts.
     void drop_version(const digest& version);
 
   private:
--- a/include/ospreystage/weights/version_plan.hpp
+++ b/include/ospreystage/weights/version_plan.hpp
@@ -12,50 +12,51 @@
 
 namespace ospreystage {
 
-/// The versions that one engine may have to switch to.
+/// Versions that one engine may have to switch to.
 ///
-/// A version may be published while the one before it is still on its way. Both
-/// are fetched, the older one first, since it is due first; the newest one
-/// that is held is what the engine gets.
+/// A version may be published while the previous one is still being
+/// distributed. Both are fetched, the older one first because its time limit
+/// ends first; the engine gets the newest version that is held.
 class version_plan {
   public:
-    /// A version that was published, and how far this agent has got with it.
+    /// Published version and its distribution state at this agent.
     struct version_record {
         std::uint64_t number = 0;
-        digest id; ///< Of its manifest; empty until that is known.
+        digest id; ///< Manifest digest; empty until the manifest is known.
         manifest description;
-        bool is_held = false; ///< Every chunk.
+        bool is_held = false; ///< Every chunk is held.
     };
 
     // ---- Events ------------------------------------------------------------
 
-    /// A version was published at `published_at`; if that was not observed, the
-    /// time is a guess that a later call replaces. Returns true if it is new.
+    /// Records a version that was published at `published_at`; if the
+    /// publication was not observed, the time is an estimate that a later call
+    /// replaces. Returns true if the version is new.
     bool on_published(std::uint64_t number, instant published_at,
                       bool is_observed);
 
     void on_manifest(std::uint64_t number, manifest description);
 
-    /// Every chunk of a version is held: older ones are not needed any more.
+    /// Records that every chunk of a version is held; drops older versions.
     /// Returns false if the version is not planned.
     bool on_held(const digest& id);
 
-    /// The engine works with this version; 0: with none.
+    /// Sets the version that the engine uses; 0: none.
     void on_in_use(std::uint64_t number);
 
     // ---- Observers ---------------------------------------------------------
 
     [[nodiscard]] const version_record* find(std::uint64_t number) const;
 
-    /// Returns the newest version that is held, or else the newest one; null
-    /// before the first.
+    /// Returns the newest version that is held, or the newest one if none is
+    /// held; null if there is no version.
     [[nodiscard]] const version_record* target() const;
 
-    /// Returns the versions to fetch, those that are due first before others.
+    /// Returns the versions to fetch, ordered by the end of their time limits.
     [[nodiscard]] std::vector<requested_version> requested() const;
 
-    /// Returns when the oldest version was published that is newer than the one
-    /// in use; its time limit ends first.
+    /// Returns the publication time of the oldest version that is newer than
+    /// the one in use; its time limit ends first.
     [[nodiscard]] std::optional<instant> oldest_publication() const;
 
     [[nodiscard]] std::uint64_t in_use() const noexcept { return in_use_; }
--- a/src/weights/chunk_store.cpp
+++ b/src/weights/chunk_store.cpp
@@ -210,7 +210,8 @@
     if (record.description.chunks[index] != actual ||
         record.description.chunk_size(index) != data.size())
         return fail(error_code::malformed, "chunk_store.put", "",
-                    "digest of chunk " + std::to_string(index) + " differs");
+                    "chunk " + std::to_string(index) +
+                        " does not match the digest or size in the manifest");
     if (record.stored.test(index))
         return {};
     const std::uint64_t offset =
--- a/src/weights/distribution.cpp
+++ b/src/weights/distribution.cpp
@@ -11,11 +11,11 @@
 constexpr const char* service_name = "distribution";
 constexpr std::uint32_t origin_threads = 2;
 constexpr std::uint32_t check_threads = 1;
-/// Bytes that a peer may leave unread before it is sent nothing more.
+/// Pending bytes on a connection above which uploads to the peer are dropped.
 constexpr std::size_t max_unread_bytes = 8 * 1024 * 1024;
-/// Chunks that an announcement may speak of.
+/// Maximum number of chunks in an announcement; larger ones are ignored.
 constexpr std::uint32_t max_chunks = 1U << 20U;
-/// Part of the link that requests never displace, as a divisor.
+/// Divisor for the share of the link that is always left to distribution.
 constexpr std::uint64_t min_share_divisor = 8;
 constexpr milliseconds min_wait{1};
 
@@ -42,7 +42,9 @@
     return file_chunks(configuration.distribution.chunk_folder);
 }
 
-/// Stores a chunk; a source is to blame for wrong bytes alone.
+/// Verifies and stores a chunk; returns `corrupt` only if the bytes do not
+/// match the manifest, so that a local storage error is not counted as a
+/// failure of the source.
 fetch_outcome put(chunk_store& store, const digest& version,
                   std::uint32_t index, const std::string& data) {
     return leaf::try_handle_all(
@@ -267,7 +269,7 @@
 }
 
 void distribution::on_peer_down(const std::string& peer) {
-    // Posted: `links` may be in the middle of a call of this service.
+    // Posted because `links` may still be executing a call from this service.
     core_.post(service_name, [this, peer] {
         decisions_.on_peer_down(peer, steady::now());
         update();
@@ -276,7 +278,7 @@
 
 // ---- Results ---------------------------------------------------------------
 
-/// Checks and stores a chunk (worker thread).
+/// Verifies and stores a chunk; runs on a worker thread.
 void distribution::check_and_store(const chunk_source& source,
                                    const digest& version, std::uint32_t index,
                                    const std::string& data) {
--- a/src/weights/engine_loader.cpp
+++ b/src/weights/engine_loader.cpp
@@ -53,7 +53,7 @@
         for (std::uint32_t index = 0; index < chunks_; ++index)
             if (!staged_->test(index))
                 missing.indexes.push_back(index);
-        staged_.reset(); // Looked at again before anything is ordered.
+        staged_.reset(); // Compared again before any order.
         return act(missing);
     }
     const bool is_serving = report_->version != 0;
--- a/src/weights/manifest.cpp
+++ b/src/weights/manifest.cpp
@@ -39,7 +39,7 @@
                                       const digest& version) {
     if (sha256(json) != version)
         return fail(error_code::malformed, "manifest.parse", "",
-                    "digest differs from version " + version);
+                    "digest of the manifest differs from version " + version);
     try {
         const auto parsed = nlohmann::json::parse(json);
         manifest value;
@@ -48,7 +48,8 @@
         value.chunks = parsed.at("chunks").get<std::vector<digest>>();
         if (!is_consistent(value))
             return fail(error_code::malformed, "manifest.parse", "",
-                        "sizes and chunk count disagree");
+                        "total_bytes, chunk_bytes and the number of chunks are "
+                        "inconsistent");
         return value;
     } catch (const nlohmann::json::exception& problem) {
         return fail(error_code::malformed, "manifest.parse", "",
--- a/src/weights/origin_client.cpp
+++ b/src/weights/origin_client.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr milliseconds connect_timeout{2000};
-/// The origin may send nothing for this long within an answer.
+/// Maximum time without data within a response.
 constexpr milliseconds read_timeout{5000};
 constexpr milliseconds call_timeout{45'000};
 constexpr std::size_t max_manifest_bytes = 4 * 1024 * 1024;
@@ -83,7 +83,7 @@
     const auto [client, host] = acquire();
     if (client == nullptr)
         return fail(error_code::unavailable, "origin.read", host,
-                    "stopped, or no address is known");
+                    "the client was stopped or has no address");
     const instant deadline = steady::now() + call_timeout;
     std::string body;
     bool is_too_large = false;
--- a/src/weights/published_versions.cpp
+++ b/src/weights/published_versions.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Time before the limit at which older versions get no more requests: the
-/// publication was acknowledged before it was learned of, and a request may
+/// publication was acknowledged before it was received here, and a request may
 /// wait in an engine's queue before it begins.
 constexpr milliseconds safety_margin{1800};
 
--- a/src/weights/swarm.cpp
+++ b/src/weights/swarm.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr milliseconds burst_time{20}; ///< Unused budget that is kept.
+constexpr milliseconds burst_time{20}; ///< Unused budget that may accumulate.
 constexpr std::uint32_t max_backoff_shift = 8;
 
 } // namespace
@@ -180,7 +180,7 @@
     peer_view& view = view_of(*record, id);
     if (!view.active)
         record->active.push_back(id);
-    // A peer that has lost chunks has started anew: tell it again.
+    // A peer that has lost chunks has restarted: announce to it again.
     if (!view.active || held.count() < view.held.count())
         view.announced_state = 0;
     view.active = true;
@@ -338,7 +338,8 @@
     if (version.assignment->role(index).origin_rank >=
         version.assignment->origin_copies())
         ++counters_.backup_reads;
-    // Other data centres wait for a chunk that is new to the fleet.
+    // Notify the owners in other data centres, which wait for a chunk that is
+    // new to the fleet.
     for (std::string& owner : version.assignment->remote_owners(index))
         version.owners_to_notify.push_back(std::move(owner));
 }
--- a/src/weights/swarm_downloads.cpp
+++ b/src/weights/swarm_downloads.cpp
@@ -8,20 +8,21 @@
 
 namespace {
 
-/// A reader that joins waits this long for its neighbours' announcements.
+/// Time for which a new reader waits for its neighbours' announcements.
 constexpr milliseconds join_grace{300};
-/// Interval between two looks for chunks that no source is known for.
+/// Interval between checks for chunks without a usable source.
 constexpr milliseconds check_interval{100};
-/// Missed keepalives after which a reader counts as silent.
+/// Keepalive intervals without a message after which a reader counts as silent.
 constexpr int max_missed_keepalives = 3;
-/// Multiples of the stall timeout that make up the fallback time.
+/// Fallback time in multiples of the stall timeout.
 constexpr int fallback_stall_timeouts = 2;
-/// Stall timeouts after which others fetch a chunk in place of its owner.
+/// Stall timeouts after which other agents of the data centre fetch a chunk in
+/// place of its owner.
 constexpr int owner_stall_timeouts = 2;
-/// Agents that do so one after the other within the time of one stall.
+/// Agents that start to do so, one after the other, within one stall timeout.
 constexpr int owners_per_stall_timeout = 4;
-/// Fallback times before a reader of a higher rank, or an agent that is no
-/// reader, reads from the origin in place of the first one.
+/// Fallback times before a backup reader (one of a higher rank), or an agent
+/// that is not a reader, reads from the origin in place of the first reader.
 constexpr int backup_reader_fallbacks = 1;
 constexpr int non_reader_fallbacks = 4;
 constexpr int stagnation_fallbacks = 4;
--- a/src/weights/swarm_requests.cpp
+++ b/src/weights/swarm_requests.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Times the time of one chunk on the link that an answer may take.
+/// Stall timeout in multiples of the time that one chunk takes on the link.
 constexpr std::uint64_t stall_timeout_chunks = 16;
 constexpr milliseconds max_stall_timeout{30'000};
-/// The shell reports failures of the origin; this bounds lost reports.
+/// Failures of the origin are reported by `on_fetched`; this timeout covers
+/// lost reports.
 constexpr milliseconds origin_timeout{60'000};
 constexpr milliseconds max_wake_interval{50};
 
@@ -105,7 +106,7 @@
             continue;
         }
         const peer_id id = find_or_add_peer(source->name);
-        // A peer that has delivered meanwhile is slow, not stalled.
+        // A peer that has delivered since the request is slow, not stalled.
         if (at(id).last_delivery > request.started) {
             at(id).backoff_until = now + options_.refusal_backoff;
             continue;
@@ -122,7 +123,7 @@
     version_record* version = find(request.version);
     if (version == nullptr || !version->description)
         return;
-    // The owner had its time while this request waited in vain.
+    // The time for which this request waited counts towards the owner's time.
     instant& since = version->chunks[request.index].blocked_since;
     const instant earlier = request.started - stall_timeout(request.bytes) * 2;
     since = since == instant{} ? earlier : std::min(since, earlier);
--- a/src/weights/swarm_uploads.cpp
+++ b/src/weights/swarm_uploads.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// Part of the link that announcements may take, as a divisor.
+/// Divisor for the share of the link that announcements may use.
 constexpr std::uint64_t announce_divisor = 50;
-/// Bytes of an announcement besides its bitmap.
+/// Size of an announcement without its bitmap.
 constexpr std::uint64_t announce_overhead_bytes = 130;
 constexpr milliseconds max_announce_interval{1000};
 constexpr milliseconds manifest_timeout{1000};
 constexpr milliseconds manifest_backoff{100};
-/// An agent that found no peer with the manifest asks the origin.
+/// Time after which an agent that found no peer with the manifest requests it
+/// from the origin.
 constexpr milliseconds manifest_fallback{10'000};
 
 } // namespace
--- a/src/weights/upload_queue.cpp
+++ b/src/weights/upload_queue.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Later requests that a request lets pass for each time its chunk was sent.
+/// Number of later requests that may overtake a request for each time its chunk
+/// was sent.
 constexpr std::uint64_t sequence_penalty_per_upload = 4;
 
 } // namespace
--- a/tests/distribution.cpp
+++ b/tests/distribution.cpp
@@ -22,7 +22,8 @@
 const weights_spec large_model{"large", 256 * chunk_bytes, chunk_bytes, 9};
 const weights_spec successor{"successor", 48 * chunk_bytes, chunk_bytes, 8};
 
-/// Agents of three data centres in this process, and an origin beside it.
+/// Agents of three data centres in this process, with an origin in a process of
+/// its own.
 class agents {
   public:
     explicit agents(std::uint32_t count)
@@ -142,7 +143,8 @@
 
 } // namespace
 
-TEST_CASE("distribution - every agent gets the bytes, the origin gives one") {
+TEST_CASE(
+    "distribution - every agent completes with one copy from the origin") {
     agents fleet(6);
     const digest version = fleet.publish(model);
     fleet.start();
@@ -181,7 +183,7 @@
     CHECK(fleet.bytes("agent-2", describe(successor)) == all_bytes(successor));
 }
 
-TEST_CASE("distribution - survivors complete when an agent dies meanwhile") {
+TEST_CASE("distribution - survivors complete when an agent fails") {
     agents fleet(6);
     const digest version = fleet.publish(model);
     fleet.start();
@@ -193,7 +195,8 @@
                      [&] { return fleet.complete(version, "agent-3"); }));
 }
 
-TEST_CASE("distribution - survives the origin once one copy was read") {
+TEST_CASE(
+    "distribution - completes without the origin after one copy was read") {
     agents fleet(6);
     const digest version = fleet.publish(model);
     fleet.start();
--- a/tests/engine_loader.cpp
+++ b/tests/engine_loader.cpp
@@ -21,7 +21,7 @@
     return std::holds_alternative<Action>(action);
 }
 
-/// An agent that holds version 2, beside an engine with `in_use`.
+/// Returns a loader of an agent that holds version 2; its engine uses `in_use`.
 engine_loader holding(std::uint64_t in_use, instant switch_at) {
     engine_loader loader;
     loader.request_version(2, chunks, switch_at);
@@ -30,7 +30,7 @@
     return loader;
 }
 
-/// Brings the loader to where everything lies staged.
+/// Reports to the loader that every chunk is staged.
 void stage_all(engine_loader& loader, instant now) {
     REQUIRE(is<check_staged>(loader.next(now)));
     loader.on_checked(staged({0, 1, 2, 3}), now);
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("engine loader - an empty engine is ordered at once") {
+TEST_CASE("engine loader - an engine without weights is ordered immediately") {
     engine_loader loader = holding(0, start + seconds(60));
     stage_all(loader, start);
     const loader_action action = loader.next(start);
@@ -74,7 +74,7 @@
     CHECK(is<std::monostate>(loader.next(start)));
 }
 
-TEST_CASE("engine loader - a serving engine waits for its turn") {
+TEST_CASE("engine loader - a serving engine waits for its switch time") {
     const instant switch_at = start + seconds(3);
     engine_loader loader = holding(1, switch_at);
     stage_all(loader, start);
@@ -88,7 +88,7 @@
     CHECK(is<order_switch>(loader.next(later)));
 }
 
-TEST_CASE("engine loader - a restarted engine is compared anew") {
+TEST_CASE("engine loader - a restarted engine is compared again") {
     engine_loader loader = holding(0, start);
     stage_all(loader, start);
     loader.on_report({0, false, 0, 2}, start);
@@ -106,7 +106,7 @@
     CHECK(is<std::monostate>(loader.next(start)));
 }
 
-TEST_CASE("engine loader - a failed action is tried again after a pause") {
+TEST_CASE("engine loader - a failed action is retried after a backoff") {
     engine_loader loader = holding(0, start);
     REQUIRE(is<check_staged>(loader.next(start)));
     loader.on_done(false, start);
@@ -114,7 +114,7 @@
     CHECK(is<check_staged>(loader.next(start + seconds(1))));
 }
 
-TEST_CASE("engine loader - turns are spread over the time that is left") {
+TEST_CASE("engine loader - switch delays are spread evenly") {
     CHECK(switch_delay(0, 5, seconds(2), seconds(6)) == seconds(2));
     CHECK(switch_delay(2, 5, seconds(2), seconds(6)) == seconds(4));
     CHECK(switch_delay(4, 5, seconds(2), seconds(6)) == seconds(6));
--- a/tests/engine_state.cpp
+++ b/tests/engine_state.cpp
@@ -4,7 +4,7 @@
 
 using namespace ospreystage;
 
-TEST_CASE("engine orders - a complete wanted version is loaded") {
+TEST_CASE("engine orders - a complete requested version is loaded") {
     engine_state state;
     engine_target target{{"v1"}, {"v1"}, {}};
     CHECK(reconcile(state, target) ==
@@ -16,13 +16,13 @@
     CHECK(reconcile({}, target).empty());
 }
 
-TEST_CASE("engine orders - a load in progress is not repeated") {
+TEST_CASE("engine orders - a load in progress is not ordered again") {
     engine_state state;
     state.loading = {"v1"};
     CHECK(reconcile(state, {{"v1"}, {"v1"}, {}}).empty());
 }
 
-TEST_CASE("engine orders - an engine that lost everything is loaded again") {
+TEST_CASE("engine orders - an engine that lost its versions loads them again") {
     const engine_target target{{"v1", "v2"}, {"v1", "v2"}, {}};
     CHECK(reconcile({}, target).size() == 2);
 }
--- a/tests/manifest.cpp
+++ b/tests/manifest.cpp
@@ -17,7 +17,7 @@
     CHECK(*parsed == value);
 }
 
-TEST_CASE("manifest - a changed byte is refused") {
+TEST_CASE("manifest - a changed byte is rejected") {
     const manifest value = make_manifest(std::string(2500, 'w'), 1000);
     std::string text = to_json_text(value);
     text[text.size() / 2] ^= 1;
--- a/tests/named_versions.cpp
+++ b/tests/named_versions.cpp
@@ -37,13 +37,14 @@
     CHECK(versions.min_version("m", start + seconds(1)) == 2);
 }
 
-TEST_CASE("published versions - one that was named before the start is due") {
+TEST_CASE(
+    "published versions - a publication before the start applies at once") {
     published_versions versions(limit);
     REQUIRE(versions.on_published("m", 2, false, start));
     CHECK(versions.min_version("m", start) == 2);
 }
 
-TEST_CASE("published versions - an older version is not taken back") {
+TEST_CASE("published versions - an older version is not accepted") {
     published_versions versions(limit);
     REQUIRE(versions.on_published("m", 3, true, start));
     CHECK_FALSE(versions.on_published("m", 2, true, start));
--- a/tests/support/weights.hpp
+++ b/tests/support/weights.hpp
@@ -10,7 +10,7 @@
 
 namespace ospreystage::support {
 
-/// SHA-256 of bytes that arrive in pieces.
+/// Incremental SHA-256.
 class sha256_stream {
   public:
     sha256_stream();
@@ -20,7 +20,7 @@
 
     void update(const void* bytes, std::size_t size);
 
-    /// Returns the digest; nothing may be added afterwards.
+    /// Returns the digest; `update` must not be called afterwards.
     [[nodiscard]] digest finish();
 
   private:
@@ -28,7 +28,7 @@
     std::unique_ptr<context> context_;
 };
 
-/// What determines every byte of a model version.
+/// Parameters that determine every byte of a model version.
 struct weights_spec {
     std::string name;
     std::uint64_t bytes = 0;
@@ -40,7 +40,7 @@
 [[nodiscard]] std::string weights_chunk(const weights_spec& spec,
                                         std::uint32_t index);
 
-/// Names of one version: of its manifest and of its bytes.
+/// Digests and manifest of one version.
 struct weights_version {
     digest version;        ///< Digest of the manifest.
     digest weights_digest; ///< SHA-256 over all bytes in order.
@@ -50,7 +50,7 @@
 /// Computes the manifest and the digests, as the origin does.
 [[nodiscard]] weights_version describe(const weights_spec& spec);
 
-/// Returns token `index` of the answer to `prompt`, as the engine does.
+/// Returns token `index` of the response to `prompt`, as the engine does.
 [[nodiscard]] std::string expected_token(const digest& weights_digest,
                                          const std::string& prompt,
                                          std::uint64_t index);
--- a/tests/support/weights_server.hpp
+++ b/tests/support/weights_server.hpp
@@ -15,10 +15,10 @@
 /// Serves the chunks of one version as an agent does to its engine.
 class weights_server {
   public:
-    /// Serves `spec` under the name of its version.
+    /// Serves `spec` under its version.
     explicit weights_server(const weights_spec& spec);
 
-    /// Serves `spec` under the name `version`, whatever its bytes are.
+    /// Serves `spec` as `version`, even if its digest differs.
     weights_server(const weights_spec& spec, const digest& version);
     ~weights_server();
     weights_server(const weights_server&) = delete;
--- a/tests/swarm.cpp
+++ b/tests/swarm.cpp
@@ -48,7 +48,7 @@
     return std::holds_alternative<origin_source>(action.source);
 }
 
-/// One agent whose time passes by hand.
+/// One agent with a manually advanced clock.
 class fixture {
   public:
     explicit fixture(std::vector<swarm_member> members,
@@ -62,7 +62,7 @@
         decisions.on_manifest(version, make_description(chunks), {}, now);
     }
 
-    /// Lets time pass in steps and collects the requests for chunks.
+    /// Advances the clock in steps and returns the requests for chunks.
     std::vector<fetch_chunk> advance(milliseconds time) {
         std::vector<fetch_chunk> fetched;
         const instant end = now + time;
@@ -124,7 +124,7 @@
     CHECK_FALSE(agent.decisions.complete(version));
 }
 
-TEST_CASE("swarm - a request to a peer that dies goes to another one") {
+TEST_CASE("swarm - a request to a peer that fails goes to another one") {
     fixture agent(one_data_centre(3));
     agent.receive_manifest(1);
     agent.decisions.on_have("agent-0", version, full(1), agent.now);
@@ -136,7 +136,7 @@
     CHECK(is_from(second[0], "agent-2"));
 }
 
-TEST_CASE("swarm - a stalled peer is given up after the stall timeout") {
+TEST_CASE("swarm - a stalled peer is avoided after the stall timeout") {
     fixture agent(one_data_centre(3));
     agent.receive_manifest(1);
     agent.decisions.on_have("agent-0", version, full(1), agent.now);
@@ -153,7 +153,7 @@
     }));
 }
 
-TEST_CASE("swarm - chunks still come from peers when the origin is gone") {
+TEST_CASE("swarm - chunks come from peers when the origin is unreachable") {
     fixture agent(one_data_centre(2));
     agent.receive_manifest(4);
     auto reads = agent.advance(milliseconds(400));
@@ -207,7 +207,7 @@
     CHECK(std::count(order.begin(), order.begin() + 4, other_version) == 4);
 }
 
-TEST_CASE("swarm - never asks for more than the budget of the link") {
+TEST_CASE("swarm - never requests more than the budget of the link") {
     fixture agent(one_data_centre(3));
     agent.decisions.set_budget({10'000, false}, agent.now);
     agent.receive_manifest(200);
@@ -223,7 +223,7 @@
     CHECK(bytes >= 2 * 10'000 - 2 * 1000);
 }
 
-TEST_CASE("swarm - a lowered budget holds from then on") {
+TEST_CASE("swarm - a lowered budget applies immediately") {
     fixture agent(one_data_centre(3));
     agent.decisions.set_budget({100'000, false}, agent.now);
     agent.receive_manifest(400);
@@ -260,7 +260,7 @@
     CHECK(refused > 0);
 }
 
-TEST_CASE("swarm - completes beside a peer that sends nothing") {
+TEST_CASE("swarm - completes despite a peer that sends nothing") {
     fixture agent(one_data_centre(4));
     agent.receive_manifest(16);
     for (const std::string peer : {"agent-0", "agent-2", "agent-3"})
--- a/tests/swarm_spread.cpp
+++ b/tests/swarm_spread.cpp
@@ -4,8 +4,8 @@
 using namespace ospreystage;
 using namespace ospreystage::support;
 
-// The bounds are those that the users set for whole processes; here the
-// decisions alone run over modelled links.
+// The bounds are those that the users set for complete processes; these tests
+// run the decision logic alone over simulated links.
 
 namespace {
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("swarm_spread - Board: near the limit of the links") {
+TEST_CASE("swarm_spread - four origin copies: near the limit of the links") {
     const auto members = GENERATE(8U, 24U, 72U);
     const bool shared = GENERATE(false, true);
     const auto result = run_experiment(scenario_of(members, shared, 4));
@@ -45,7 +45,7 @@
     CHECK(result.remote_copies <= max_remote_copies);
 }
 
-TEST_CASE("swarm_spread - Tokachi: one copy from the origin") {
+TEST_CASE("swarm_spread - one origin copy: close to one copy is read") {
     const auto members = GENERATE(8U, 24U, 72U);
     const bool shared = GENERATE(false, true);
     const auto result = run_experiment(scenario_of(members, shared, 1));
@@ -56,7 +56,7 @@
     CHECK(result.remote_copies <= max_remote_copies);
 }
 
-TEST_CASE("swarm_spread - Tokachi: kills, stalls and corrupt chunks") {
+TEST_CASE("swarm_spread - one origin copy: kills, stalls and corrupt chunks") {
     const auto members = GENERATE(24U, 72U);
     const bool shared = GENERATE(false, true);
     const auto seed = GENERATE(1U, 2U, 3U);
@@ -73,7 +73,7 @@
     CHECK(result.origin_copies <= max_faulty_copies);
 }
 
-TEST_CASE("swarm_spread - completes after the origin gave one copy") {
+TEST_CASE("swarm_spread - completes after the origin served one copy") {
     const auto members = GENERATE(8U, 72U);
     swarm_scenario scenario = scenario_of(members, false, 1);
     scenario.origin_copies_available = 1;
@@ -82,7 +82,7 @@
     CHECK(result.origin_copies <= 1);
 }
 
-TEST_CASE("swarm_spread - better than every agent at the origin or a tree") {
+TEST_CASE("swarm_spread - faster than direct reads and than a tree") {
     const auto members = GENERATE(8U, 24U);
     const auto result = run_experiment(scenario_of(members, false, 1));
     swarm_scenario baseline = scenario_of(members, false, 1);
--- a/tests/version_plan.cpp
+++ b/tests/version_plan.cpp
@@ -43,7 +43,7 @@
     CHECK(plan.is_complete());
 }
 
-TEST_CASE("version plan - a skipped version keeps its time until it is met") {
+TEST_CASE("version plan - a skipped version keeps its publication time") {
     version_plan plan = with_two_versions();
     REQUIRE(plan.on_held(version_of(make_description('3'))));
     CHECK(plan.oldest_publication() == start);
@@ -51,7 +51,7 @@
     CHECK_FALSE(plan.oldest_publication());
 }
 
-TEST_CASE("version plan - a naming that was seen replaces a guess") {
+TEST_CASE("version plan - an observed publication replaces an estimate") {
     version_plan plan;
     plan.on_in_use(1);
     REQUIRE(plan.on_published(2, start - seconds(8), false));
@@ -61,7 +61,7 @@
     CHECK(plan.oldest_publication() == start);
 }
 
-TEST_CASE("version plan - a restarted engine is due for all again") {
+TEST_CASE("version plan - a restarted engine needs all versions again") {
     version_plan plan;
     plan.on_in_use(2);
     REQUIRE(plan.on_published(2, start, true));
