--- a/src/weights/swarm_downloads.cpp
+++ b/src/weights/swarm_downloads.cpp
@@ -154,12 +154,14 @@
     const auto fallback = stall_timeout(version.description->chunk_bytes) *
                           fallback_stall_timeouts;
     const bool is_reader = role.origin_rank != chunk_role::none;
-    const int turn = is_reader ? backup_reader_fallbacks + role.origin_rank
-                               : non_reader_fallbacks + role.owner_rank;
-    const bool is_blocked_long = is_set(chunk.blocked_since) &&
-                                 now - chunk.blocked_since > fallback * turn;
-    const bool is_stagnant =
-        now - version.last_progress > fallback * (turn + stagnation_fallbacks);
+    const int fallback_count = is_reader
+                                   ? backup_reader_fallbacks + role.origin_rank
+                                   : non_reader_fallbacks + role.owner_rank;
+    const bool is_blocked_long =
+        is_set(chunk.blocked_since) &&
+        now - chunk.blocked_since > fallback * fallback_count;
+    const bool is_stagnant = now - version.last_progress >
+                             fallback * (fallback_count + stagnation_fallbacks);
     return (is_blocked_long || is_stagnant) &&
            !has_trusted_holder(version, index, false, now);
 }
@@ -173,8 +175,8 @@
     if (!is_set(since))
         return false;
     const auto stall = stall_timeout(version.description->chunk_bytes);
-    const auto turn = stall / owners_per_stall_timeout * (role.owner_rank - 1);
-    return now - since > stall * owner_stall_timeouts + turn;
+    const auto delay = stall / owners_per_stall_timeout * (role.owner_rank - 1);
+    return now - since > stall * owner_stall_timeouts + delay;
 }
 
 std::optional<swarm::peer_id> swarm::best_source(const version_record& version,
