--- a/include/ospreystage/weights/published_versions.hpp
+++ b/include/ospreystage/weights/published_versions.hpp
@@ -18,7 +18,7 @@
   public:
     struct publication {
         std::uint64_t version = 0;
-        /// When this process received it.
+        /// When this process learned of it.
         instant received_at{};
         /// False if it was published before this process observed the model.
         bool is_observed = false;
@@ -31,7 +31,7 @@
     /// Replaces the limit, also of versions that are known.
     void set_limit(milliseconds limit) noexcept { limit_ = limit; }
 
-    /// Records a version; returns false if it is not newer than the newest one.
+    /// Takes a version; returns false if it is not newer than the known one.
     bool on_published(const std::string& model, std::uint64_t version,
                       bool is_observed, instant now);
 
@@ -39,7 +39,7 @@
     [[nodiscard]] std::optional<publication>
     find(const std::string& model) const;
 
-    /// Returns the oldest version on which a request may begin; 0: any.
+    /// Returns the oldest version that may still begin a request; 0: any.
     [[nodiscard]] std::uint64_t min_version(const std::string& model,
                                             instant now) const;
 
@@ -47,8 +47,8 @@
     [[nodiscard]] bool is_due(const publication& record, instant now) const;
 
     milliseconds limit_;
-    /// By model, oldest first; of those past their limit only the newest is
-    /// kept.
+    /// By model, the oldest first; those that are past their limit are
+    /// dropped but for the newest of them.
     std::map<std::string, std::vector<publication>> models_;
 };
 
--- a/tests/swarm_spread.cpp
+++ b/tests/swarm_spread.cpp
@@ -5,7 +5,8 @@
 using namespace ospreystage::support;
 
 // The bounds are those that the users set for complete processes; these tests
-// run the decision logic alone over simulated links.
+// run the decision logic alone over simulated links. Board allows four copies
+// from the origin, Tokachi one.
 
 namespace {
 
