--- a/include/ospreystage/weights/engine_service.hpp
+++ b/include/ospreystage/weights/engine_service.hpp
@@ -16,13 +16,13 @@
 
 namespace ospreystage {
 
-/// Compares the engine of this VM with its target and orders what differs.
+/// Reconciles the state of this VM's engine with its target.
 ///
-/// A thread of its own polls the engine; decisions run on the kernel thread.
-/// Every order carries the agent's incarnation as its fencing number.
+/// A dedicated thread polls the engine; decisions run on the kernel thread.
+/// Every order carries the agent's incarnation as its fencing token.
 class engine_service {
   public:
-    /// What the service needs; all called on the kernel thread.
+    /// Callbacks of the service; all run on the kernel thread.
     struct dependencies {
         std::function<engine_target(const engine_state&)> target;
         std::function<void(const engine_state&, std::vector<std::uint64_t>)>
@@ -33,7 +33,7 @@
     // ---- Construction ------------------------------------------------------
 
     engine_service(kernel& core, const settings& configuration,
-                   std::uint64_t fence, dependencies needs);
+                   std::uint64_t fence, dependencies callbacks);
     ~engine_service();
     engine_service(const engine_service&) = delete;
     engine_service& operator=(const engine_service&) = delete;
@@ -41,7 +41,7 @@
     /// Starts polling; call it once the kernel is about to run.
     void start();
 
-    /// Ends polling and waits for the thread.
+    /// Stops polling and joins the thread.
     void stop();
 
     // ---- Observers ---------------------------------------------------------
@@ -56,15 +56,16 @@
 
     void poll();
     [[nodiscard]] std::optional<observation> observe();
-    [[nodiscard]] std::vector<engine_order> decide(const observation& seen);
-    void carry_out(const std::vector<engine_order>& orders);
+    [[nodiscard]] std::vector<engine_order>
+    decide(const observation& observed_state);
+    void send_orders(const std::vector<engine_order>& orders);
     void read_cache_events();
     [[nodiscard]] bool wait_for_next_poll();
 
     kernel& core_;
     const settings& configuration_;
     std::uint64_t fence_;
-    dependencies needs_;
+    dependencies callbacks_;
     std::thread thread_;
     std::uint64_t next_cache_event_ = 0;  ///< Polling thread only.
     std::vector<std::uint64_t> prefixes_; ///< Polling thread only.
--- a/include/ospreystage/weights/published_versions.hpp
+++ b/include/ospreystage/weights/published_versions.hpp
@@ -19,8 +19,8 @@
     struct publication {
         std::uint64_t version = 0;
         /// When this process learned of it.
-        instant learned_at{};
-        /// False if it had been published before this process looked.
+        instant received_at{};
+        /// False if it was published before this process observed the model.
         bool is_observed = false;
     };
 
--- a/include/ospreystage/weights/swarm.hpp
+++ b/include/ospreystage/weights/swarm.hpp
@@ -18,7 +18,7 @@
 
 namespace ospreystage {
 
-/// A version that this agent shall hold.
+/// Version that this agent must hold.
 struct requested_version {
     digest version;
     std::uint32_t priority = 0; ///< Higher is fetched and served first.
@@ -26,11 +26,13 @@
                            const requested_version&) = default;
 };
 
-/// Decides which chunk is fetched when and from whom, and which is served.
+/// Decides which chunks to fetch, when and from which source, and which to
+/// serve.
 ///
-/// Has no sockets, threads or clock: the inputs carry the time, `tick` returns
-/// what is to be done. The shell reports every `fetch_chunk` by `on_fetched`,
-/// also after a failure; a late report of a request that timed out is allowed.
+/// Has no sockets, threads or clock: the current time is an argument, and
+/// `tick` returns the actions to perform. The service that performs them
+/// reports the outcome of every `fetch_chunk` by `on_fetched`, also after a
+/// failure; a late report of a request that timed out is allowed.
 ///
 ///     swarm decisions(options, "agent-1");
 ///     decisions.set_members(members, now);
@@ -51,7 +53,7 @@
     /// Returns the held chunks; empty if the manifest is not known yet.
     [[nodiscard]] chunk_bitmap held(const digest& version) const;
 
-    /// Returns the time at which `tick` has something to do at the latest.
+    /// Returns the latest time at which `tick` must be called again.
     [[nodiscard]] instant next_wake(instant now) const;
 
     [[nodiscard]] const swarm_counters& counters() const noexcept;
@@ -59,68 +61,72 @@
 
     // ---- Configuration -----------------------------------------------------
 
-    /// Sets the live agents; this one may be among them or not.
+    /// Sets the live agents; this agent may or may not be among them.
     void set_members(std::vector<swarm_member> members, instant now);
 
-    /// Sets the versions to hold; everything about others is dropped.
+    /// Sets the versions to hold; drops all state of other versions.
     void set_requested(const std::vector<requested_version>& requested,
                        instant now);
 
-    /// Sets the share of the link that may be used from now on.
+    /// Sets the share of the link that distribution may use.
     void set_budget(const link_budget& budget, instant now);
 
     // ---- Events ------------------------------------------------------------
 
-    /// The manifest was checked; `held` are the chunks already stored.
+    /// Adds a verified manifest; `held` are the chunks already stored.
     void on_manifest(const digest& version, const manifest& description,
                      const chunk_bitmap& held, instant now);
 
-    /// A source did not give the manifest.
+    /// Records that a source did not deliver the manifest.
     void on_manifest_failed(const digest& version, const chunk_source& source,
                             instant now);
 
-    /// A peer told which chunks it has; `chunks` is 0 if it has no manifest.
+    /// Records the chunks that a peer announced; `held` has size 0 if the peer
+    /// has no manifest.
     void on_have(const std::string& peer, const digest& version,
                  const chunk_bitmap& held, instant now);
 
-    /// A request for a chunk ended.
+    /// Records the outcome of a request for a chunk.
     void on_fetched(const chunk_source& source, const digest& version,
                     std::uint32_t index, fetch_outcome outcome, instant now);
 
-    /// A peer asks for a chunk on `connection`.
+    /// Handles a peer's request for a chunk on `connection`.
     void on_request(const std::string& peer, std::uint64_t connection,
                     const digest& version, std::uint32_t index);
 
-    /// The connection to a peer ended; its answers will not come.
+    /// Records that the connection to a peer ended; cancels the requests that
+    /// are outstanding to it.
     void on_peer_down(const std::string& peer, instant now);
 
     /// Returns the actions that are due.
     [[nodiscard]] std::vector<swarm_action> tick(instant now);
 
   private:
-    /// Addresses a record of `peers_`.
+    /// Index into `peers_`.
     enum class peer_id : std::uint32_t {};
 
     struct peer_record {
         std::string name;
         bool is_member = false;
         bool is_local = false;
-        bool proven = false; ///< Has delivered a chunk.
+        bool has_delivered = false; ///< A chunk, since its last failure.
         std::uint32_t outstanding = 0;
-        std::uint32_t strikes = 0;
-        instant avoided_until{};     ///< It gave no or bad answers.
-        instant unreachable_until{}; ///< Its connection ended.
-        instant delivered{};
-        instant heard{};
-        microseconds latency{}; ///< Smoothed time to an answer.
+        std::uint32_t failure_count = 0;
+        instant backoff_until{};     ///< After failures and refusals.
+        instant unreachable_until{}; ///< After its connection ended.
+        instant last_delivery{};
+        instant last_received{};
+        microseconds latency{}; ///< Smoothed response time.
     };
 
-    /// What is known of a peer for one version.
+    /// State of a peer for one version.
     struct peer_view {
         chunk_bitmap held;
-        bool active = false;         ///< It has announced the version.
-        std::uint32_t announced = 0; ///< Own count last told, plus one.
-        instant told{};
+        bool active = false; ///< The peer announced the version.
+        /// Own state last announced to the peer; 0: none, 1: without manifest,
+        /// otherwise the number of held chunks plus 2.
+        std::uint32_t announced_state = 0;
+        instant last_announced{};
 
         [[nodiscard]] bool is_complete() const noexcept {
             return held.size() > 0 && held.is_full();
@@ -128,9 +134,9 @@
     };
 
     struct chunk_record {
-        std::uint16_t holders = 0; ///< Active peers that have it.
+        std::uint16_t holders = 0; ///< Active peers that hold the chunk.
         std::uint16_t in_flight = 0;
-        instant blocked_since{}; ///< Known elsewhere, no source to ask.
+        instant blocked_since{}; ///< Held by peers, but none can be asked.
     };
 
     struct version_record {
@@ -140,19 +146,21 @@
         chunk_bitmap held;
         std::vector<chunk_record> chunks;
         std::vector<std::uint32_t> order; ///< Random, differs by agent.
-        std::vector<peer_view> views;     ///< By peer_id.
+        std::vector<peer_view> views;     ///< Indexed by peer_id.
         std::vector<peer_id> active;
-        std::optional<chunk_assignment> roles;
-        std::vector<std::string> silent; ///< Readers that others replace.
-        std::vector<std::string> owners_to_tell;
+        std::optional<chunk_assignment> assignment;
+        /// Readers that are replaced by backup readers.
+        std::vector<std::string> silent_readers;
+        std::vector<std::string> owners_to_notify;
         bool announce_now = false;
-        instant announced{};
+        instant last_announcement{};
         instant requested_since{};
-        instant progress{}; ///< Last chunk stored.
-        instant checked{};
-        std::optional<chunk_source> manifest_source; ///< Outstanding.
+        instant last_progress{}; ///< When the last chunk was stored.
+        instant last_blocked_check{};
+        /// Source of the outstanding manifest request.
+        std::optional<chunk_source> manifest_source;
         instant manifest_deadline{};
-        instant manifest_retry{};
+        instant manifest_retry_at{};
     };
 
     struct request_record {
@@ -167,27 +175,28 @@
     // Records (swarm.cpp)
     [[nodiscard]] version_record* find(const digest& version);
     [[nodiscard]] const version_record* find(const digest& version) const;
-    [[nodiscard]] peer_id peer_of(const std::string& name);
+    [[nodiscard]] peer_id find_or_add_peer(const std::string& name);
     [[nodiscard]] peer_record& at(peer_id id);
     [[nodiscard]] const peer_record& at(peer_id id) const;
     [[nodiscard]] peer_view& view_of(version_record& version, peer_id id);
-    void place(version_record& version);
-    void forget_view(version_record& version, peer_id id);
+    void update_assignment(version_record& version);
+    void drop_view(version_record& version, peer_id id);
     void count_holders(version_record& version, const chunk_bitmap& held,
                        int change);
     void store(version_record& version, std::uint32_t index,
                const chunk_source& source, instant now);
-    void strike(peer_id id, instant now);
+    void record_failure(peer_id id, instant now);
     [[nodiscard]] bool is_usable(peer_id id, instant now) const;
 
     // Requests (swarm_requests.cpp)
     [[nodiscard]] milliseconds stall_timeout(std::uint32_t bytes) const;
     [[nodiscard]] std::optional<request_record>
-    take_request(const chunk_source& source, const digest& version,
-                 std::uint32_t index);
+    remove_request(const chunk_source& source, const digest& version,
+                   std::uint32_t index);
     void release(const request_record& request, bool refund);
-    void expire(instant now);
-    /// Counts the time that a silent source took as time without a source.
+    void expire_requests(instant now);
+    /// Counts the time spent waiting for an unresponsive source as time without
+    /// a source.
     void mark_blocked(const request_record& request);
     void start_request(version_record& version, std::uint32_t index,
                        chunk_source source, instant now);
@@ -208,10 +217,10 @@
     [[nodiscard]] bool has_trusted_holder(const version_record& version,
                                           std::uint32_t index, bool local_only,
                                           instant now) const;
-    [[nodiscard]] bool may_cross(const version_record& version,
-                                 std::uint32_t index, instant now) const;
-    void check_blocked(version_record& version, instant now);
-    void check_silence(version_record& version, instant now);
+    [[nodiscard]] bool may_fetch_remote(const version_record& version,
+                                        std::uint32_t index, instant now) const;
+    void update_blocked_chunks(version_record& version, instant now);
+    void update_silent_readers(version_record& version, instant now);
 
     // Uploads and announcements (swarm_uploads.cpp)
     [[nodiscard]] bool plan_upload();
@@ -225,10 +234,10 @@
     std::mt19937_64 random_;
     std::vector<swarm_member> members_;
     link_budget budget_;
-    token_bucket upload_;
-    token_bucket download_; ///< Unused if the directions share the link.
-    std::uint64_t taken_up_ = 0;
-    std::uint64_t taken_down_ = 0;
+    token_bucket upload_bucket_;
+    token_bucket download_bucket_; ///< Unused if the directions share the link.
+    std::uint64_t uploaded_bytes_ = 0;
+    std::uint64_t downloaded_bytes_ = 0;
     std::vector<peer_record> peers_;
     absl::flat_hash_map<std::string, peer_id> peer_ids_;
     std::vector<version_record> versions_; ///< Highest priority first.
@@ -236,7 +245,7 @@
     std::uint32_t peer_requests_ = 0;
     std::uint64_t peer_request_bytes_ = 0;
     std::uint32_t origin_requests_ = 0;
-    instant origin_avoided_until_{};
+    instant origin_backoff_until_{};
     upload_queue uploads_;
     std::vector<swarm_action> actions_;
     swarm_counters counters_;
--- a/tests/engine_loader.cpp
+++ b/tests/engine_loader.cpp
@@ -21,16 +21,16 @@
     return std::holds_alternative<Action>(action);
 }
 
-/// An agent that holds version 2, beside an engine with `in_use`.
-engine_loader holding(std::uint64_t in_use, instant turn) {
+/// Returns a loader of an agent that holds version 2; its engine uses `in_use`.
+engine_loader holding(std::uint64_t in_use, instant switch_at) {
     engine_loader loader;
-    loader.request_version(2, chunks, turn);
+    loader.request_version(2, chunks, switch_at);
     loader.on_held(2);
     loader.on_report({in_use, false, 5, 1}, start);
     return loader;
 }
 
-/// Brings the loader to where everything lies staged.
+/// Reports to the loader that every chunk is staged.
 void stage_all(engine_loader& loader, instant now) {
     REQUIRE(is<check_staged>(loader.next(now)));
     loader.on_checked(staged({0, 1, 2, 3}), now);
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("engine loader - an empty engine is ordered at once") {
+TEST_CASE("engine loader - an engine without weights is ordered immediately") {
     engine_loader loader = holding(0, start + seconds(60));
     stage_all(loader, start);
     const loader_action action = loader.next(start);
@@ -74,21 +74,21 @@
     CHECK(is<std::monostate>(loader.next(start)));
 }
 
-TEST_CASE("engine loader - a serving engine waits for its turn") {
-    const instant turn = start + seconds(3);
-    engine_loader loader = holding(1, turn);
+TEST_CASE("engine loader - a serving engine waits for its switch time") {
+    const instant switch_at = start + seconds(3);
+    engine_loader loader = holding(1, switch_at);
     stage_all(loader, start);
     CHECK(is<std::monostate>(loader.next(start + seconds(2))));
-    CHECK(is<announce_switch>(loader.next(turn)));
-    loader.on_done(true, turn);
+    CHECK(is<announce_switch>(loader.next(switch_at)));
+    loader.on_done(true, switch_at);
     CHECK(loader.is_announced());
-    CHECK(is<std::monostate>(loader.next(turn + milliseconds(100))));
-    const instant later = turn + milliseconds(300);
+    CHECK(is<std::monostate>(loader.next(switch_at + milliseconds(100))));
+    const instant later = switch_at + milliseconds(300);
     stage_all(loader, later);
     CHECK(is<order_switch>(loader.next(later)));
 }
 
-TEST_CASE("engine loader - a restarted engine is compared anew") {
+TEST_CASE("engine loader - a restarted engine is compared again") {
     engine_loader loader = holding(0, start);
     stage_all(loader, start);
     loader.on_report({0, false, 0, 2}, start);
@@ -106,7 +106,7 @@
     CHECK(is<std::monostate>(loader.next(start)));
 }
 
-TEST_CASE("engine loader - a failed action is tried again after a pause") {
+TEST_CASE("engine loader - a failed action is retried after a backoff") {
     engine_loader loader = holding(0, start);
     REQUIRE(is<check_staged>(loader.next(start)));
     loader.on_done(false, start);
@@ -114,10 +114,10 @@
     CHECK(is<check_staged>(loader.next(start + seconds(1))));
 }
 
-TEST_CASE("engine loader - turns are spread over the time that is left") {
-    CHECK(switch_turn(0, 5, seconds(2), seconds(6)) == seconds(2));
-    CHECK(switch_turn(2, 5, seconds(2), seconds(6)) == seconds(4));
-    CHECK(switch_turn(4, 5, seconds(2), seconds(6)) == seconds(6));
-    CHECK(switch_turn(9, 5, seconds(2), seconds(6)) == seconds(6));
-    CHECK(switch_turn(0, 1, seconds(2), seconds(6)) == seconds(2));
+TEST_CASE("engine loader - switch delays are spread evenly") {
+    CHECK(switch_delay(0, 5, seconds(2), seconds(6)) == seconds(2));
+    CHECK(switch_delay(2, 5, seconds(2), seconds(6)) == seconds(4));
+    CHECK(switch_delay(4, 5, seconds(2), seconds(6)) == seconds(6));
+    CHECK(switch_delay(9, 5, seconds(2), seconds(6)) == seconds(6));
+    CHECK(switch_delay(0, 1, seconds(2), seconds(6)) == seconds(2));
 }
