--- a/tests/platform_wire.cpp
+++ b/tests/platform_wire.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("node settings - read, with unknown keys ignored") {
+TEST_CASE("node settings - values are parsed and unknown keys ignored") {
     const auto node =
         decoded([] { return parse_node_settings(settings_text, "f"); });
     REQUIRE(node);
@@ -64,7 +64,7 @@
               .detail.find("listen.ready") != std::string::npos);
 }
 
-TEST_CASE("node settings - times and budgets are taken up while running") {
+TEST_CASE("node settings - times and budgets are applied at run time") {
     auto node = decoded([] { return parse_node_settings(settings_text, "f"); });
     const auto read = decoded([] {
         return parse_node_settings(
@@ -85,7 +85,8 @@
     CHECK(apply_changes(*node, *read).applied.empty());
 }
 
-TEST_CASE("node settings - a file with an error leaves what is in force") {
+TEST_CASE(
+    "node settings - an invalid file leaves the current settings unchanged") {
     const std::string file =
         std::filesystem::temp_directory_path() /
         ("ospreystage-node-" + std::to_string(getpid()) + ".conf");
@@ -112,7 +113,7 @@
     CHECK(product.distribution.link_bytes_per_second == 8'000'000);
 }
 
-TEST_CASE("wire - a configuration becomes routes, services and keys") {
+TEST_CASE("wire - a configuration is decoded into routes, services and keys") {
     const auto configuration = decoded([] {
         return decode_configuration(R"({"version":7,"routes":[
             {"name":"r","hostname":"a.example","path_prefix":"/x/",
@@ -139,7 +140,7 @@
     CHECK(stream.objective == milliseconds(400));
     CHECK(stream.max_gap == milliseconds(300));
     CHECK(stream.targets.size() == 2);
-    // A kind that is not known here is treated as the strictest.
+    // An unknown kind is treated as the strictest one.
     CHECK(configuration->routes.at(1).kind == request_kind::unsafe);
     CHECK(configuration->routes.at(1).is_public);
     const service_description& engine = configuration->services.at(0);
@@ -158,7 +159,7 @@
     CHECK_FALSE(decoded([] { return decode_configuration("not json"); }));
 }
 
-TEST_CASE("wire - a server's entry, and entries of other writers") {
+TEST_CASE("wire - a server's registration is decoded and malformed ones fail") {
     const std::string entry =
         R"({"service":"s","address":"10.0.0.1:80","zone":"hall-a","slots":16,
             "state":"ready","born":1793055298024150,
@@ -177,7 +178,7 @@
         CHECK_FALSE(decoded([&] { return decode_server("i-1", broken); }));
 }
 
-TEST_CASE("wire - an engine's report") {
+TEST_CASE("wire - an engine's report is decoded") {
     const auto report = decoded([] {
         return decode_engine_report(
             R"({"models":[{"name":"m","version":2}],"busy":true,"sequence":4,
@@ -186,7 +187,7 @@
             16);
     });
     REQUIRE(report);
-    CHECK(report->state.version == 0); // Half of the layers.
+    CHECK(report->state.version == 0); // Only half of the layers are held.
     CHECK(report->state.is_loading);
     CHECK(report->state.orders == 4);
     CHECK(report->running == 12);
@@ -210,14 +211,14 @@
         [] { return decode_manifest(R"({"version":2,"chunk_bytes":8})"); }));
 }
 
-TEST_CASE("wire - an order is void if others came between") {
+TEST_CASE("wire - an order is conditional on the number of earlier orders") {
     const http_request request = switch_request("m", {3, 5});
     CHECK(request.method == "POST");
     CHECK(request.body.find("\"precondition\":5") != std::string::npos);
     CHECK(request.body.find("\"version\":3") != std::string::npos);
 }
 
-TEST_CASE("wire - a request to a server carries what the entry decides") {
+TEST_CASE("wire - an attempt carries the header fields set by the entry") {
     const caller_protocol protocol = make_caller_protocol();
     http_request request;
     request.fields = {{"Host", "a.example"},
@@ -247,7 +248,7 @@
     CHECK(find_field(fields, "X-Expect-Version") == nullptr);
 }
 
-TEST_CASE("wire - what says that a server did not run a request") {
+TEST_CASE("wire - X-Not-Executed or status 421 marks a request as not run") {
     const caller_protocol protocol = make_caller_protocol();
     http_response response;
     response.status = 503;
--- a/tests/site_watch.cpp
+++ b/tests/site_watch.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds call_timeout{1000};
 constexpr const char* entry_key = "ospreystage/entries/edge-1";
 
-/// Calls the store once; the handler's result is what the test looks at.
+/// Makes one store call and returns the result passed to its handler.
 template <typename Result>
 Result call_store(
     platform_store& store,
@@ -65,7 +65,7 @@
         port);
 }
 
-/// One entry's view of a site.
+/// A `site_watch` with the state that it updates for one entry.
 class entry_view {
   public:
     explicit entry_view(const platform_store& store)
@@ -109,7 +109,8 @@
     CHECK(store.calls("/v1/kv-range") == 3);
 }
 
-TEST_CASE("store client - a watch tells writes and removals after a revision") {
+TEST_CASE(
+    "store client - a watch reports writes and removals after a revision") {
     platform_store store;
     store.put("a/1", "old");
     const std::int64_t known = read_all(store, "a/").revision;
@@ -134,7 +135,7 @@
     CHECK(watch(known, seconds(2)).failure == store_failure::compacted);
 }
 
-TEST_CASE("store client - every failure has its own name") {
+TEST_CASE("store client - each kind of failure is reported as such") {
     platform_store store;
     const std::vector<std::pair<std::uint16_t, store_failure>> cases = {
         {404, store_failure::no_lease}, {410, store_failure::compacted},
@@ -151,7 +152,7 @@
           store_failure::unreachable);
 }
 
-TEST_CASE("store client - keys of a lease end with it") {
+TEST_CASE("store client - keys of a lease are removed when it ends") {
     platform_store store;
     const auto lease =
         call_store<std::uint64_t>(store, [](store_client& client, auto done) {
@@ -187,7 +188,7 @@
 
 // ---- Site watch ------------------------------------------------------------
 
-TEST_CASE("site watch - configurations are taken up and never go back") {
+TEST_CASE("site watch - configurations are applied and never revert") {
     platform_store store;
     store.put("op/config", configuration_text(3));
     entry_view entry(store);
@@ -202,7 +203,7 @@
     CHECK(running.until([&] { return in_force() == 9; }, milliseconds(500)));
 }
 
-TEST_CASE("site watch - a store that is down leaves what is known in force") {
+TEST_CASE("site watch - known state stays in effect while the store is down") {
     platform_store store;
     store.set_status(503);
     entry_view entry(store);
@@ -226,7 +227,8 @@
     CHECK(running.until([&] { return in_force() == 4; }, seconds(2)));
 }
 
-TEST_CASE("site watch - a history that is gone is replaced by a whole read") {
+TEST_CASE(
+    "site watch - all items are read again after the history is compacted") {
     platform_store store;
     store.put("op/config", configuration_text(3));
     store.put("op/version/m", R"({"model":"m","version":1})");
@@ -246,7 +248,7 @@
         seconds(1)));
 }
 
-TEST_CASE("site watch - entries of servers that cannot be read name none") {
+TEST_CASE("site watch - malformed server registrations are ignored") {
     platform_store store;
     store.put("servers/i-1", server_text(80));
     store.put("servers/i-2", "\xff\xfe");
@@ -258,7 +260,7 @@
         [&] { return entry.servers.serving("desk").size() == 2; }, seconds(1)));
 }
 
-TEST_CASE("site watch - an entry whose lease has ended registers again") {
+TEST_CASE("site watch - an entry registers again after its lease has ended") {
     platform_store store;
     entry_view entry(store);
     running_kernel running(entry.core);
@@ -272,7 +274,7 @@
     CHECK(running.until(is_registered, seconds(2)));
 }
 
-TEST_CASE("site watch - a withdrawal is repeated until the store takes it") {
+TEST_CASE("site watch - a withdrawal is retried until the store accepts it") {
     platform_store store;
     entry_view entry(store);
     running_kernel running(entry.core);
@@ -288,7 +290,7 @@
     CHECK_FALSE(store.value(entry_key));
 }
 
-TEST_CASE("site watch - a withdrawal asks a store that is down ever less") {
+TEST_CASE("site watch - withdrawal retries back off while the store is down") {
     platform_store store;
     entry_view entry(store);
     running_kernel running(entry.core);
--- a/tests/support/local_node.cpp
+++ b/tests/support/local_node.cpp
@@ -26,7 +26,7 @@
     local.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof(local);
     if (bind(descriptor, reinterpret_cast<sockaddr*>(&local), size) != 0)
-        throw std::runtime_error("no free port");
+        throw std::runtime_error("cannot bind a free port on 127.0.0.1");
     getsockname(descriptor, reinterpret_cast<sockaddr*>(&local), &size);
     close(descriptor);
     return ntohs(local.sin_port);
--- a/tests/support/local_node.hpp
+++ b/tests/support/local_node.hpp
@@ -8,16 +8,16 @@
 
 namespace ospreystage::support {
 
-/// Settings of a minimal process that listens on loopback.
+/// Returns settings of a minimal process that listens on loopback.
 [[nodiscard]] settings node_settings(const std::string& name,
                                      std::uint16_t peer_port);
 
-/// Returns a free TCP port of loopback.
+/// Returns a TCP port that is free on loopback.
 [[nodiscard]] std::uint16_t free_port();
 
-/// A kernel with `network` and `links` on a thread of its own.
+/// Runs a kernel with `network` and `links` on its own thread.
 ///
-/// Subscribe through `link_layer` before `start`.
+/// Handlers must be registered through `link_layer` before `start`.
 class local_node {
   public:
     local_node(const std::string& name, std::uint16_t port,
@@ -26,10 +26,10 @@
     local_node(const local_node&) = delete;
     local_node& operator=(const local_node&) = delete;
 
-    /// Listens and runs; throws if the address is in use.
+    /// Listens and starts the kernel's thread; throws if the address is in use.
     void start();
 
-    /// Ends the kernel's thread.
+    /// Stops the kernel and joins its thread.
     void stop();
 
     kernel core;
--- a/tests/support/platform_store.cpp
+++ b/tests/support/platform_store.cpp
@@ -23,7 +23,7 @@
 std::string decode(const std::string& text) {
     std::string out;
     if (!absl::Base64Unescape(text, &out))
-        throw std::runtime_error("a value is no base64 text");
+        throw std::runtime_error("value is not valid base64");
     return out;
 }
 
@@ -161,7 +161,7 @@
 
 void platform_store::compact() {
     change([&] {
-        // Something has changed since any watch that waits.
+        // Advance the revision, so that all pending watches are outdated.
         ++revision_;
         compacted_ = revision_;
         history_.clear();
--- a/tests/support/platform_store.hpp
+++ b/tests/support/platform_store.hpp
@@ -12,8 +12,8 @@
 
 namespace ospreystage::testing {
 
-/// Stand-in for the platform's store: keys, pages, watches, transactions and
-/// leases by its published protocol, on a thread of its own.
+/// In-memory fake of the platform's store on its own thread. Implements keys,
+/// pages, watches, transactions and leases of the published protocol.
 class platform_store {
   public:
     platform_store();
@@ -28,27 +28,29 @@
     void erase(const std::string& key);
     [[nodiscard]] std::optional<std::string> value(const std::string& key);
 
-    /// Ends every lease, and removes its keys.
+    /// Revokes all leases and removes their keys.
     void end_leases();
 
     // ---- Faults ------------------------------------------------------------
 
-    /// Answers every call with `status` from now on; 0: as usual.
+    /// Answers every later call with `status`; 0 restores normal operation.
     void set_status(std::uint16_t status);
 
-    /// Answers the next `count` calls whose path begins with `path` so.
+    /// Answers the next `count` calls whose path begins with `path` with
+    /// `status`.
     void fail_next(const std::string& path, int count, std::uint16_t status);
 
-    /// Answers calls with this text instead of JSON.
+    /// Answers calls with truncated JSON.
     void set_malformed(bool is_malformed);
 
-    /// Forgets the history: watches from before now get 410.
+    /// Discards the history: watches after an older revision get 410.
     void compact();
 
-    /// Items on one page.
+    /// Sets the maximum number of items per page.
     void set_page_size(std::size_t count);
 
-    /// Calls whose path begins with `path`, refused ones included.
+    /// Returns the number of calls whose path begins with `path`, including
+    /// refused ones.
     [[nodiscard]] int calls(const std::string& path);
 
   private:
--- a/tests/system_platform.cpp
+++ b/tests/system_platform.cpp
@@ -29,11 +29,10 @@
 namespace {
 
 constexpr seconds timeout{10};
-/// Exit status of a process that SIGKILL has ended.
+/// Exit status of a process terminated by SIGKILL.
 constexpr int killed_status = 128 + SIGKILL;
 
-/// An entry of the platform whose output goes to a pipe that nobody reads
-/// before the test does.
+/// An entry process whose output goes to a pipe that is read only by the test.
 class entry_process {
   public:
     explicit entry_process(const platform_store& store)
@@ -83,10 +82,10 @@
 
     [[nodiscard]] child_process& child() { return *child_; }
 
-    /// Waits for the end; returns the exit status.
+    /// Waits for the process to exit; returns its exit status.
     std::optional<int> wait() { return child_->wait(timeout); }
 
-    /// Returns what the process has written, without waiting for more.
+    /// Returns the output available so far, without blocking.
     [[nodiscard]] std::string read_output() const {
         std::string text;
         std::array<char, 65536> buffer{};
@@ -154,12 +153,13 @@
 
 } // namespace
 
-TEST_CASE("platform entry - output that nobody reads delays no request") {
+TEST_CASE("platform entry - unread output does not delay requests") {
     platform_store store;
     put_initial_configuration(store);
     entry_process entry(store);
     REQUIRE(await_ready(entry));
-    constexpr int requests = 3000; // Several pipes full of lines.
+    // Their log lines exceed the pipe's capacity several times.
+    constexpr int requests = 3000;
     const instant started = steady::now();
     int answered = 0;
     for (int count = 0; count < requests; ++count)
@@ -173,7 +173,7 @@
     CHECK(entry.wait() == 0);
 }
 
-TEST_CASE("platform entry - a decision has its line, with the request's id") {
+TEST_CASE("platform entry - routing decisions are logged with the request id") {
     platform_store store;
     put_initial_configuration(store);
     entry_process entry(store);
@@ -191,7 +191,7 @@
           std::string::npos);
 }
 
-TEST_CASE("platform entry - a changed settings file is taken up") {
+TEST_CASE("platform entry - a changed settings file is applied") {
     platform_store store;
     put_initial_configuration(store);
     entry_process entry(store);
@@ -230,7 +230,8 @@
         entry.child().kill();
         CHECK(entry.wait() == killed_status);
     }
-    // Without the store nothing is known: refused, not answered wrongly.
+    // Without the store no configuration is known: requests are refused with
+    // 503 rather than answered with 404.
     const entry_process next(store);
     std::this_thread::sleep_for(seconds(1));
     CHECK(get(next.front(), "/nowhere").find(" 503 ") != std::string::npos);
@@ -239,7 +240,7 @@
     CHECK(await_version(next, 6, seconds(3)));
 }
 
-TEST_CASE("platform entry - a stopping entry leaves the list and serves on") {
+TEST_CASE("platform entry - a stopping entry deregisters and keeps serving") {
     platform_store store;
     put_initial_configuration(store);
     entry_process entry(store);
@@ -249,7 +250,7 @@
     const instant started = steady::now();
     entry.child().terminate();
     CHECK(eventually(seconds(1), [&] { return !store.value(entry_key); }));
-    // Callers that hold its address still get answers.
+    // Callers that have cached its address still get answers.
     while (steady::now() - started < milliseconds(2500)) {
         CHECK(get(entry.front(), "/nowhere").find(" 404 ") !=
               std::string::npos);
@@ -260,7 +261,7 @@
     CHECK_FALSE(store.value(entry_key));
 }
 
-TEST_CASE("platform entry - a kill loses nothing that the store holds") {
+TEST_CASE("platform entry - a killed entry recovers its state from the store") {
     platform_store store;
     put_initial_configuration(store);
     {
