--- a/tests/support/platform_store.hpp
+++ b/tests/support/platform_store.hpp
@@ -12,8 +12,8 @@
 
 namespace ospreystage::testing {
 
-/// Stand-in for the platform's store: keys, pages, watches, transactions and
-/// leases by its published protocol, on a thread of its own.
+/// In-memory fake of the platform's store on its own thread. Implements keys,
+/// pages, watches, transactions and leases of the published protocol.
 class platform_store {
   public:
     platform_store();
@@ -28,27 +28,29 @@
     void erase(const std::string& key);
     [[nodiscard]] std::optional<std::string> value(const std::string& key);
 
-    /// Ends every lease, and removes its keys.
+    /// Revokes all leases and removes their keys.
     void end_leases();
 
     // ---- Faults ------------------------------------------------------------
 
-    /// Answers every call with `status` from now on; 0: as usual.
+    /// Answers every later call with `status`; 0 restores normal operation.
     void set_status(std::uint16_t status);
 
-    /// Answers the next `count` calls whose path begins with `path` so.
+    /// Answers the next `count` calls whose path begins with `path` with
+    /// `status`.
     void fail_next(const std::string& path, int count, std::uint16_t status);
 
-    /// Answers calls with this text instead of JSON.
-    void set_garbled(bool wanted);
+    /// Answers calls with truncated JSON.
+    void set_malformed(bool is_malformed);
 
-    /// Forgets the history: watches from before now get 410.
+    /// Discards the history: watches after an older revision get 410.
     void compact();
 
-    /// Items on one page.
+    /// Sets the maximum number of items per page.
     void set_page_size(std::size_t count);
 
-    /// Calls whose path begins with `path`, refused ones included.
+    /// Returns the number of calls whose path begins with `path`, including
+    /// refused ones.
     [[nodiscard]] int calls(const std::string& path);
 
   private:
@@ -62,7 +64,7 @@
         std::int64_t revision = 0;
         std::optional<std::string> value;
     };
-    struct waiting_watch {
+    struct pending_watch {
         exchange_id exchange{};
         std::string prefix;
         std::int64_t after = 0;
@@ -87,11 +89,11 @@
     answer range(const api_request& request);
     answer transact(const api_request& request);
     answer grant(const api_request& request);
-    answer keep(const api_request& request);
+    answer renew_lease(const api_request& request);
     answer end_lease(const api_request& request);
     void watch(exchange_id exchange, const api_request& request);
     void answer_watches();
-    [[nodiscard]] nlohmann::json events(const waiting_watch& watch) const;
+    [[nodiscard]] nlohmann::json events(const pending_watch& watch) const;
 
     kernel core_;
     address local_;
@@ -102,11 +104,11 @@
     std::int64_t compacted_ = 0;
     std::map<std::uint64_t, bool> leases_;
     std::uint64_t next_lease_ = 1;
-    std::vector<waiting_watch> watches_;
+    std::vector<pending_watch> watches_;
     std::vector<planned_failure> failures_;
     std::map<std::string, int> calls_;
     std::uint16_t status_ = 0;
-    bool garbled_ = false;
+    bool is_malformed_ = false;
     std::size_t page_size_ = 500;
     running_kernel running_;
 };
