--- a/include/ospreystage/fleet/backend_registry.hpp
+++ b/include/ospreystage/fleet/backend_registry.hpp
@@ -51,7 +51,7 @@
         milliseconds outage_after{1000};
         /// Time in which lapsed entries come back (users' second letter: about
         /// two seconds).
-        milliseconds return_time{2200};
+        milliseconds reregistration_time{2200};
     };
 
     explicit backend_registry(const options& limits);
@@ -74,23 +74,24 @@
     [[nodiscard]] std::vector<const backend_server*> all() const;
     /// Returns the ids of the servers at an address; one that has been reused
     /// may have two for a while.
-    [[nodiscard]] std::vector<std::string> at(const address& endpoint) const;
-    [[nodiscard]] bool is_known() const noexcept { return known_; }
+    [[nodiscard]] std::vector<std::string>
+    ids_at(const address& endpoint) const;
+    [[nodiscard]] bool has_list() const noexcept { return has_list_; }
     /// Age of the last list, or nothing if there was none.
     [[nodiscard]] std::optional<milliseconds> age(instant now) const;
 
   private:
     struct server_record {
         backend_server server;
-        std::optional<instant> missing_until; ///< Lapsed, may come back.
+        std::optional<instant> remove_at; ///< Lapsed, may come back.
     };
 
     options limits_;
     absl::flat_hash_map<std::string, server_record> servers_;
-    std::optional<instant> heard_;
+    std::optional<instant> last_received_;
     std::optional<instant> unreachable_since_;
-    std::optional<instant> returned_; ///< End of the last outage.
-    bool known_ = false;
+    std::optional<instant> outage_ended_; ///< End of the last outage.
+    bool has_list_ = false;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/fleet/entry_list.hpp
+++ b/include/ospreystage/fleet/entry_list.hpp
@@ -16,28 +16,29 @@
 /// long as they need to register again.
 class entry_list {
   public:
-    explicit entry_list(milliseconds return_time) : return_time_(return_time) {}
+    explicit entry_list(milliseconds reregistration_time)
+        : reregistration_time_(reregistration_time) {}
 
     /// `callers` is where the entry takes requests.
     void on_listed(const std::string& name, const address& callers);
     void on_removed(const std::string& name, instant now);
     /// Everything that is not in `names` was removed.
     void retain(const std::vector<std::string>& names, instant now);
-    void on_store_returned(instant now) { returned_ = now; }
+    void on_store_recovered(instant now) { outage_ended_ = now; }
     void advance(instant now);
 
-    [[nodiscard]] std::vector<address> callers() const;
-    [[nodiscard]] std::size_t size() const noexcept { return places_.size(); }
+    [[nodiscard]] std::vector<address> caller_addresses() const;
+    [[nodiscard]] std::size_t size() const noexcept { return entries_.size(); }
 
   private:
-    struct place_record {
-        address callers;
-        std::optional<instant> missing_until;
+    struct entry_record {
+        address caller_address;
+        std::optional<instant> remove_at;
     };
 
-    milliseconds return_time_;
-    std::optional<instant> returned_;
-    std::map<std::string, place_record> places_;
+    milliseconds reregistration_time_;
+    std::optional<instant> outage_ended_;
+    std::map<std::string, entry_record> entries_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/fleet/member_table.hpp
+++ b/include/ospreystage/fleet/member_table.hpp
@@ -31,10 +31,10 @@
     /// A member and what this process does about it.
     struct record {
         member value;
-        std::uint32_t sends_left = 0; ///< Datagrams that still carry it.
-        bool urgent = false;          ///< More changed than `in_force`.
-        instant changed{};            ///< Time of the last change of state.
-        std::optional<instant> silent_since; ///< First unanswered probe.
+        std::uint32_t remaining_sends = 0; ///< Datagrams that still carry it.
+        bool urgent = false;               ///< More changed than `in_force`.
+        instant changed_at{}; ///< Time of the last change of state.
+        std::optional<instant> unanswered_since; ///< First unanswered probe.
     };
 
     // ---- Construction ------------------------------------------------------
@@ -63,25 +63,25 @@
     // ---- Modifiers ---------------------------------------------------------
 
     /// Takes in a record heard from a peer.
-    merge_outcome merge(const member& heard, instant now);
+    merge_outcome merge(const member& received, instant now);
 
     /// Notes that a member did not answer a probe; returns true on a change.
     bool suspect(const std::string& name, instant now);
 
     /// Notes that a member answered a probe.
-    void answered(const std::string& name);
+    void on_probe_answered(const std::string& name);
 
     /// Declares members dead that stayed silent for `limit`; returns them.
     std::vector<member> expire(instant now, std::chrono::nanoseconds limit);
 
     /// Removes members that have been dead for `retention`.
-    void forget(instant now, std::chrono::nanoseconds retention);
+    void prune_dead(instant now, std::chrono::nanoseconds retention);
 
     /// Restarts the silence of every member, as after a pause of this process.
-    void restart_silence(instant now);
+    void restart_suspicion_timers(instant now);
 
     /// Sets whether the platform lists a member as leaving; true on a change.
-    bool set_listed(const std::string& name, bool leaving, instant now);
+    bool set_listed_leaving(const std::string& name, bool leaving, instant now);
 
     /// Publishes that this process leaves; returns false if it did before.
     bool set_leaving();
@@ -91,16 +91,16 @@
 
     /// Picks records for a datagram: this process, `first` if it is known,
     /// changed members, then the next ones of a rotation over all.
-    [[nodiscard]] std::vector<member> take(std::size_t max_bytes,
-                                           const std::string& first);
+    [[nodiscard]] std::vector<member> select_records(std::size_t max_bytes,
+                                                     const std::string& first);
 
   private:
-    merge_outcome merge_self(const member& heard);
-    void mark(record& changed, bool urgent, instant now);
+    merge_outcome merge_self(const member& received);
+    void schedule_sends(record& changed, bool urgent, instant now);
 
     member self_;
     std::map<std::string, record> others_;
-    std::string rotation_; ///< Last member that the rotation took.
+    std::string rotation_cursor_; ///< Last member that the rotation took.
 };
 
 /// Returns the encoded size of a member in bytes.
--- a/include/ospreystage/fleet/membership.hpp
+++ b/include/ospreystage/fleet/membership.hpp
@@ -96,7 +96,8 @@
     [[nodiscard]] actions query(const std::string& name);
 
     /// Takes in the members of a `sync_reply`.
-    [[nodiscard]] actions merge(const std::vector<member>& heard, instant now);
+    [[nodiscard]] actions merge(const std::vector<member>& received,
+                                instant now);
 
     /// Takes in the platform's list; VMs that it lacks are not judged.
     [[nodiscard]] actions on_vm_list(const std::vector<listed_vm>& vms,
@@ -118,8 +119,8 @@
         bool indirect = false; ///< Others were asked to probe it too.
     };
     struct relay_state {
-        address asker;
-        std::uint64_t sequence = 0; ///< Of the asker's ping.
+        address requester;
+        std::uint64_t sequence = 0; ///< Of the requester's ping.
         std::string target;
         instant since{};
     };
@@ -127,17 +128,17 @@
     void end_period(instant now, actions& out);
     void begin_period(instant now, actions& out);
     void probe_indirectly(actions& out);
-    void probe_lost(actions& out);
+    void probe_unreachable(actions& out);
     void recover_from_pause(instant now);
     [[nodiscard]] std::optional<std::string> next_target();
     [[nodiscard]] bool is_outdated(const process_id& sender) const;
-    void merge_into(const std::vector<member>& heard, instant now,
+    void merge_into(const std::vector<member>& received, instant now,
                     actions& out);
     void ping(const address& to, const std::string& name, gossip_ping datagram,
               actions& out);
-    void acknowledge(const address& to, const process_id& asker,
+    void acknowledge(const address& to, const process_id& requester,
                      gossip_ack datagram, actions& out);
-    void answer_question(const address& to, gossip_ack datagram, actions& out);
+    void answer_query(const address& to, gossip_ack datagram, actions& out);
     void relay(const address& from, const gossip_ping& ping, instant now,
                actions& out);
     [[nodiscard]] std::size_t member_bytes() const;
@@ -151,7 +152,8 @@
     std::optional<instant> last_tick_;
     instant period_start_{};
     std::optional<probe_state> probe_;
-    std::vector<std::string> order_; ///< Rest of the current probing round.
+    std::vector<std::string>
+        probe_order_; ///< Rest of the current probing round.
     absl::flat_hash_map<std::uint64_t, relay_state> relays_;
     bool superseded_ = false;
     revision document_ = 0;
--- a/include/ospreystage/fleet/membership_service.hpp
+++ b/include/ospreystage/fleet/membership_service.hpp
@@ -57,7 +57,7 @@
 
     void set_in_force(revision number);
     void set_revisions(revision document, std::vector<held_revision> held);
-    void merge(const std::vector<member>& heard);
+    void merge(const std::vector<member>& received);
     void on_vm_list(const std::vector<listed_vm>& vms);
 
     /// Asks a process what it holds of the configuration; the answer arrives
--- a/include/ospreystage/network/links.hpp
+++ b/include/ospreystage/network/links.hpp
@@ -33,7 +33,7 @@
 class links {
   public:
     using directory = std::function<std::optional<address>(const std::string&)>;
-    using started_source =
+    using started_attempts_source =
         std::function<std::vector<attempt_id>(const link_peer&)>;
 
     // ---- Construction ------------------------------------------------------
@@ -47,7 +47,7 @@
     void set_directory(directory lookup);
 
     /// Sets who lists the started attempts in `hello_reply`.
-    void set_started_source(started_source source);
+    void set_started_attempts_source(started_attempts_source source);
 
     /// Delivers every message of type `Message` to `handler`. There is one
     /// handler a type; a later one replaces an earlier one.
@@ -111,8 +111,8 @@
         link_peer peer;
         std::string name; ///< Configured name of an outgoing link's peer.
         bool established = false;
-        instant heard{};
-        std::vector<message> waiting;
+        instant last_received{};
+        std::vector<message> pending;
     };
     using link_handler = std::function<void(const link_peer&, const message&)>;
     using datagram_handler =
@@ -124,7 +124,7 @@
     void accept_hello(connection_id id, const hello& greeting);
     void accept_reply(connection_id id, const hello_reply& greeting);
     void end_link(connection_id id, const std::string& reason);
-    void retire_older(const link_peer& latest);
+    void close_older_connections(const link_peer& latest);
     void tick();
 
     kernel& core_;
@@ -132,7 +132,7 @@
     process_id self_;
     network& network_;
     directory lookup_;
-    started_source started_;
+    started_attempts_source started_attempts_;
     std::array<link_handler, std::variant_size_v<message>> handlers_;
     std::array<datagram_handler, std::variant_size_v<message>>
         datagram_handlers_;
@@ -148,7 +148,7 @@
         latest_;
     std::uint64_t next_heartbeat_ = 1;
     std::uint64_t refused_ = 0;
-    std::uint64_t silenced_ = 0;
+    std::uint64_t timed_out_ = 0;
 };
 
 namespace impl {
--- a/include/ospreystage/network/network.hpp
+++ b/include/ospreystage/network/network.hpp
@@ -86,8 +86,8 @@
         std::string input;
         std::string output;
         std::size_t written = 0;
-        bool has_flush = false;      ///< Waits for the end of the turn.
-        bool waits_for_room = false; ///< The system takes no more now.
+        bool flush_scheduled = false; ///< Waits for the end of the turn.
+        bool write_blocked = false;   ///< The system takes no more now.
     };
 
     void accept_all();
@@ -107,10 +107,10 @@
     std::uint64_t next_connection_ = 1;
     std::uint64_t sent_bytes_ = 0;
     std::uint64_t received_bytes_ = 0;
-    std::uint64_t strange_datagrams_ = 0;
+    std::uint64_t rejected_datagrams_ = 0;
     std::string datagram_key_;
-    int listener_ = -1;
-    int datagrams_ = -1;
+    int listener_socket_ = -1;
+    int datagram_socket_ = -1;
 };
 
 } // namespace ospreystage
--- a/src/fleet/backend_registry.cpp
+++ b/src/fleet/backend_registry.cpp
@@ -38,10 +38,10 @@
 void backend_registry::on_list(std::vector<backend_server> listed,
                                instant now) {
     if (unreachable_since_ && now - *unreachable_since_ > limits_.outage_after)
-        returned_ = now;
+        outage_ended_ = now;
     unreachable_since_.reset();
-    heard_ = now;
-    known_ = true;
+    last_received_ = now;
+    has_list_ = true;
     absl::flat_hash_set<std::string> seen;
     for (backend_server& entry : listed) {
         seen.insert(entry.id);
@@ -56,20 +56,21 @@
                        {"draining", entry.is_draining},
                        {"started_unix_ms", entry.started_unix_ms}});
         record.server = std::move(entry);
-        record.missing_until.reset();
+        record.remove_at.reset();
     }
-    const bool may_return = returned_ && now - *returned_ < limits_.return_time;
+    const bool may_return =
+        outage_ended_ && now - *outage_ended_ < limits_.reregistration_time;
     for (auto& [id, record] : servers_)
-        if (!seen.contains(id) && !record.missing_until)
-            record.missing_until =
-                may_return ? *returned_ + limits_.return_time : now;
+        if (!seen.contains(id) && !record.remove_at)
+            record.remove_at =
+                may_return ? *outage_ended_ + limits_.reregistration_time : now;
     advance(now);
 }
 
 void backend_registry::advance(instant now) {
     absl::erase_if(servers_, [&](const auto& entry) {
         const bool is_gone =
-            entry.second.missing_until && *entry.second.missing_until <= now;
+            entry.second.remove_at && *entry.second.remove_at <= now;
         if (is_gone)
             log_event(log_level::info, "backend_server_gone",
                       {{"id", entry.first}});
@@ -98,7 +99,8 @@
     return result;
 }
 
-std::vector<std::string> backend_registry::at(const address& endpoint) const {
+std::vector<std::string>
+backend_registry::ids_at(const address& endpoint) const {
     std::vector<std::string> result;
     for (const auto& [id, record] : servers_)
         if (record.server.endpoint == endpoint)
@@ -107,9 +109,9 @@
 }
 
 std::optional<milliseconds> backend_registry::age(instant now) const {
-    if (!heard_)
+    if (!last_received_)
         return std::nullopt;
-    return std::chrono::duration_cast<milliseconds>(now - *heard_);
+    return std::chrono::duration_cast<milliseconds>(now - *last_received_);
 }
 
 } // namespace ospreystage
--- a/src/fleet/entry_list.cpp
+++ b/src/fleet/entry_list.cpp
@@ -5,21 +5,23 @@
 namespace ospreystage {
 
 void entry_list::on_listed(const std::string& name, const address& callers) {
-    places_[name] = {callers, std::nullopt};
+    entries_[name] = {callers, std::nullopt};
 }
 
 void entry_list::on_removed(const std::string& name, instant now) {
-    const auto found = places_.find(name);
-    if (found == places_.end() || found->second.missing_until)
+    const auto found = entries_.find(name);
+    if (found == entries_.end() || found->second.remove_at)
         return;
-    const bool may_return = returned_ && now - *returned_ < return_time_;
-    found->second.missing_until = may_return ? *returned_ + return_time_ : now;
+    const bool may_return =
+        outage_ended_ && now - *outage_ended_ < reregistration_time_;
+    found->second.remove_at =
+        may_return ? *outage_ended_ + reregistration_time_ : now;
     advance(now);
 }
 
 void entry_list::retain(const std::vector<std::string>& names, instant now) {
     std::vector<std::string> missing;
-    for (const auto& [name, record] : places_)
+    for (const auto& [name, record] : entries_)
         if (std::find(names.begin(), names.end(), name) == names.end())
             missing.push_back(name);
     for (const std::string& name : missing)
@@ -27,15 +29,15 @@
 }
 
 void entry_list::advance(instant now) {
-    std::erase_if(places_, [&](const auto& entry) {
-        return entry.second.missing_until && *entry.second.missing_until <= now;
+    std::erase_if(entries_, [&](const auto& entry) {
+        return entry.second.remove_at && *entry.second.remove_at <= now;
     });
 }
 
-std::vector<address> entry_list::callers() const {
+std::vector<address> entry_list::caller_addresses() const {
     std::vector<address> result;
-    for (const auto& [name, record] : places_)
-        result.push_back(record.callers);
+    for (const auto& [name, record] : entries_)
+        result.push_back(record.caller_address);
     return result;
 }
 
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Datagrams that carry a changed record, per binary digit of the fleet size.
-constexpr std::uint32_t sends_per_digit = 3;
+constexpr std::uint32_t sends_per_size_bit = 3;
 
 /// Members that the rotation adds to one datagram.
 constexpr std::size_t rotation_members = 3;
@@ -18,20 +18,20 @@
 /// Encoded bytes of a member beside its texts: lengths and numbers.
 constexpr std::size_t member_fixed_bytes = 64;
 
-bool is_newer(const member& heard, const member& known) {
-    return std::tie(heard.id.incarnation, heard.counter, heard.state) >
+bool is_newer(const member& received, const member& known) {
+    return std::tie(received.id.incarnation, received.counter, received.state) >
            std::tie(known.id.incarnation, known.counter, known.state);
 }
 
-bool is_same_publication(const member& heard, const member& known) {
-    return heard.id.incarnation == known.id.incarnation &&
-           heard.counter == known.counter;
+bool has_same_counter(const member& received, const member& known) {
+    return received.id.incarnation == known.id.incarnation &&
+           received.counter == known.counter;
 }
 
 /// Returns true if more differs than the revision in force.
-bool is_urgent(const member& heard, const member& known) {
-    return heard.id != known.id || heard.state != known.state ||
-           heard.listed_leaving != known.listed_leaving;
+bool is_urgent(const member& received, const member& known) {
+    return received.id != known.id || received.state != known.state ||
+           received.listed_leaving != known.listed_leaving;
 }
 
 bool contains(const std::vector<member>& members, const std::string& name) {
@@ -87,53 +87,55 @@
         std::bit_width(static_cast<std::uint64_t>(live) + 1));
 }
 
-merge_outcome member_table::merge(const member& heard, instant now) {
-    if (heard.id.name.empty())
+merge_outcome member_table::merge(const member& received, instant now) {
+    if (received.id.name.empty())
         return merge_outcome::ignored;
-    if (heard.id.name == self_.id.name)
-        return merge_self(heard);
-    const auto found = others_.find(heard.id.name);
+    if (received.id.name == self_.id.name)
+        return merge_self(received);
+    const auto found = others_.find(received.id.name);
     if (found == others_.end()) {
-        if (heard.state == member_state::dead)
+        if (received.state == member_state::dead)
             return merge_outcome::ignored;
-        record& added = others_[heard.id.name];
-        added.value = heard;
-        if (heard.state == member_state::suspect)
-            added.silent_since = now;
-        mark(added, true, now);
+        record& added = others_[received.id.name];
+        added.value = received;
+        if (received.state == member_state::suspect)
+            added.unanswered_since = now;
+        schedule_sends(added, true, now);
         return merge_outcome::changed;
     }
     record& known = found->second;
-    member merged = is_newer(heard, known.value) ? heard : known.value;
-    if (is_same_publication(heard, known.value))
+    member merged = is_newer(received, known.value) ? received : known.value;
+    if (has_same_counter(received, known.value))
         merged.listed_leaving =
-            heard.listed_leaving || known.value.listed_leaving;
+            received.listed_leaving || known.value.listed_leaving;
     if (merged == known.value)
         return merge_outcome::ignored;
     const bool urgent = is_urgent(merged, known.value);
     if (merged.state == member_state::suspect)
-        known.silent_since = known.silent_since.value_or(now);
-    else if (!is_same_publication(merged, known.value))
-        known.silent_since.reset();
+        known.unanswered_since = known.unanswered_since.value_or(now);
+    else if (!has_same_counter(merged, known.value))
+        known.unanswered_since.reset();
     known.value = std::move(merged);
-    mark(known, urgent, now);
+    schedule_sends(known, urgent, now);
     return merge_outcome::changed;
 }
 
-merge_outcome member_table::merge_self(const member& heard) {
-    if (heard.id.incarnation > self_.id.incarnation)
+merge_outcome member_table::merge_self(const member& received) {
+    if (received.id.incarnation > self_.id.incarnation)
         return merge_outcome::superseded;
-    if (heard.id.incarnation < self_.id.incarnation ||
-        heard.counter < self_.counter)
+    if (received.id.incarnation < self_.id.incarnation ||
+        received.counter < self_.counter)
         return merge_outcome::ignored;
-    const bool accused = heard.state == member_state::suspect ||
-                         heard.state == member_state::dead;
-    const bool listing_differs = heard.listed_leaving != self_.listed_leaving;
-    if (!accused && !listing_differs && heard.counter == self_.counter)
+    const bool reported_failed = received.state == member_state::suspect ||
+                                 received.state == member_state::dead;
+    const bool listing_differs =
+        received.listed_leaving != self_.listed_leaving;
+    if (!reported_failed && !listing_differs &&
+        received.counter == self_.counter)
         return merge_outcome::ignored;
-    self_.counter = heard.counter + 1;
-    self_.listed_leaving = heard.listed_leaving;
-    return accused ? merge_outcome::refuted : merge_outcome::changed;
+    self_.counter = received.counter + 1;
+    self_.listed_leaving = received.listed_leaving;
+    return reported_failed ? merge_outcome::refuted : merge_outcome::changed;
 }
 
 bool member_table::suspect(const std::string& name, instant now) {
@@ -141,57 +143,57 @@
     if (found == others_.end())
         return false;
     record& known = found->second;
-    known.silent_since = known.silent_since.value_or(now);
+    known.unanswered_since = known.unanswered_since.value_or(now);
     if (known.value.state != member_state::alive)
         return false;
     known.value.state = member_state::suspect;
-    mark(known, true, now);
+    schedule_sends(known, true, now);
     return true;
 }
 
-void member_table::answered(const std::string& name) {
+void member_table::on_probe_answered(const std::string& name) {
     const auto found = others_.find(name);
     // A suspicion ends with the suspect's own refutation only.
     if (found != others_.end() &&
         found->second.value.state != member_state::suspect)
-        found->second.silent_since.reset();
+        found->second.unanswered_since.reset();
 }
 
 std::vector<member> member_table::expire(instant now,
                                          std::chrono::nanoseconds limit) {
     std::vector<member> dead;
     for (auto& [name, known] : others_) {
-        if (known.value.state == member_state::dead || !known.silent_since ||
-            now - *known.silent_since < limit)
+        if (known.value.state == member_state::dead ||
+            !known.unanswered_since || now - *known.unanswered_since < limit)
             continue;
         known.value.state = member_state::dead;
-        mark(known, true, now);
+        schedule_sends(known, true, now);
         dead.push_back(known.value);
     }
     return dead;
 }
 
-void member_table::forget(instant now, std::chrono::nanoseconds retention) {
+void member_table::prune_dead(instant now, std::chrono::nanoseconds retention) {
     std::erase_if(others_, [&](const auto& item) {
         return item.second.value.state == member_state::dead &&
-               now - item.second.changed >= retention;
+               now - item.second.changed_at >= retention;
     });
 }
 
-void member_table::restart_silence(instant now) {
+void member_table::restart_suspicion_timers(instant now) {
     for (auto& [name, known] : others_) {
-        if (known.silent_since)
-            known.silent_since = now;
+        if (known.unanswered_since)
+            known.unanswered_since = now;
     }
 }
 
-bool member_table::set_listed(const std::string& name, bool leaving,
-                              instant now) {
+bool member_table::set_listed_leaving(const std::string& name, bool leaving,
+                                      instant now) {
     const auto found = others_.find(name);
     if (found == others_.end() || found->second.value.listed_leaving == leaving)
         return false;
     found->second.value.listed_leaving = leaving;
-    mark(found->second, true, now);
+    schedule_sends(found->second, true, now);
     return true;
 }
 
@@ -210,8 +212,8 @@
     ++self_.counter;
 }
 
-std::vector<member> member_table::take(std::size_t max_bytes,
-                                       const std::string& first) {
+std::vector<member> member_table::select_records(std::size_t max_bytes,
+                                                 const std::string& first) {
     std::vector<member> taken{self_};
     std::size_t bytes = wire_bytes(self_);
     const auto add = [&](record& known) {
@@ -220,40 +222,40 @@
             return;
         bytes += size;
         taken.push_back(known.value);
-        known.sends_left -= known.sends_left > 0 ? 1 : 0;
+        known.remaining_sends -= known.remaining_sends > 0 ? 1 : 0;
     };
-    const auto wanted = others_.find(first);
-    if (wanted != others_.end())
-        add(wanted->second);
+    const auto preferred = others_.find(first);
+    if (preferred != others_.end())
+        add(preferred->second);
     std::vector<record*> changed;
     for (auto& [name, known] : others_) {
-        if (known.sends_left > 0)
+        if (known.remaining_sends > 0)
             changed.push_back(&known);
     }
     std::stable_sort(changed.begin(), changed.end(),
                      [](const record* left, const record* right) {
-                         return std::tie(left->urgent, left->sends_left) >
-                                std::tie(right->urgent, right->sends_left);
+                         return std::tie(left->urgent, left->remaining_sends) >
+                                std::tie(right->urgent, right->remaining_sends);
                      });
     for (record* known : changed)
         add(*known);
     const std::size_t steps = std::min(rotation_members, others_.size());
     for (std::size_t step = 0; step < steps; ++step) {
-        auto next = others_.upper_bound(rotation_);
+        auto next = others_.upper_bound(rotation_cursor_);
         if (next == others_.end())
             next = others_.begin();
-        rotation_ = next->first;
+        rotation_cursor_ = next->first;
         if (next->second.value.state != member_state::dead)
             add(next->second);
     }
     return taken;
 }
 
-void member_table::mark(record& changed, bool urgent, instant now) {
-    changed.urgent = urgent || (changed.urgent && changed.sends_left > 0);
-    changed.sends_left = sends_per_digit * log_size();
+void member_table::schedule_sends(record& changed, bool urgent, instant now) {
+    changed.urgent = urgent || (changed.urgent && changed.remaining_sends > 0);
+    changed.remaining_sends = sends_per_size_bit * log_size();
     if (urgent)
-        changed.changed = now;
+        changed.changed_at = now;
 }
 
 std::size_t wire_bytes(const member& value) noexcept {
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -11,8 +11,9 @@
 constexpr std::size_t datagram_fixed_bytes = 80; ///< Beside the lists.
 constexpr std::size_t held_fixed_bytes = 20;     ///< Beside the name.
 constexpr std::size_t indirect_probers = 3;
-constexpr std::uint64_t lost_probe_periods = 4; ///< Between probes of the dead.
-constexpr std::uint32_t least_suspicion_periods = 4;
+constexpr std::uint64_t unreachable_probe_periods =
+    4; ///< Between probes of the dead.
+constexpr std::uint32_t min_suspicion_periods = 4;
 constexpr int pause_intervals = 3; ///< A longer gap between ticks is a pause.
 constexpr int relay_intervals = 4;
 constexpr std::chrono::hours dead_retention{1};
@@ -92,7 +93,7 @@
 void membership::recover_from_pause(instant now) {
     probe_.reset();
     relays_.clear();
-    table_.restart_silence(now);
+    table_.restart_suspicion_timers(now);
 }
 
 void membership::end_period(instant now, actions& out) {
@@ -100,10 +101,10 @@
         out.emplace_back(member_changed{table_.find(probe_->name)->value});
     probe_.reset();
     const auto limit =
-        interval_ * std::max(least_suspicion_periods, table_.log_size());
+        interval_ * std::max(min_suspicion_periods, table_.log_size());
     for (const member& dead : table_.expire(now, limit))
         out.emplace_back(member_changed{dead});
-    table_.forget(now, dead_retention);
+    table_.prune_dead(now, dead_retention);
     absl::erase_if(relays_, [&](const auto& item) {
         return now - item.second.since > relay_intervals * interval_;
     });
@@ -117,21 +118,21 @@
         probe_ = probe_state{*target, next_sequence_, false};
         ping(table_.find(*target)->value.peer, *target, {}, out);
     }
-    if (!target || periods_ % lost_probe_periods == 0)
-        probe_lost(out);
+    if (!target || periods_ % unreachable_probe_periods == 0)
+        probe_unreachable(out);
 }
 
 std::optional<std::string> membership::next_target() {
     for (int round = 0; round < 2; ++round) {
-        while (!order_.empty()) {
-            const std::string name = std::move(order_.back());
-            order_.pop_back();
+        while (!probe_order_.empty()) {
+            const std::string name = std::move(probe_order_.back());
+            probe_order_.pop_back();
             const auto* known = table_.find(name);
             if (known != nullptr && known->value.state != member_state::dead)
                 return name;
         }
-        order_ = table_.names(false);
-        std::shuffle(order_.begin(), order_.end(), random_);
+        probe_order_ = table_.names(false);
+        std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
     }
     return std::nullopt;
 }
@@ -151,7 +152,7 @@
 }
 
 /// Pings one dead member and the witnesses that are not in the table.
-void membership::probe_lost(actions& out) {
+void membership::probe_unreachable(actions& out) {
     for (const witness_settings& witness : witnesses_) {
         if (table_.find(witness.name) == nullptr)
             ping(witness.peer, witness.name, {}, out);
@@ -177,7 +178,7 @@
     merge_into(ping.members, now, out);
     out.emplace_back(revision_report{ping.sender, ping.document, ping.held, 0});
     if (ping.members.empty())
-        answer_question(from, std::move(answer), out);
+        answer_query(from, std::move(answer), out);
     else if (ping.target.empty())
         acknowledge(from, ping.sender, std::move(answer), out);
     else
@@ -198,7 +199,7 @@
         ping(from, ack.sender.name, {}, out); // Refutes at once.
     if (probe_ && ack.sequence == probe_->sequence &&
         (ack.sender.name == probe_->name || ack.target == probe_->name)) {
-        table_.answered(probe_->name);
+        table_.on_probe_answered(probe_->name);
         probe_.reset();
     }
     const auto relayed = relays_.find(ack.sequence);
@@ -207,7 +208,7 @@
     gossip_ack answer;
     answer.sequence = relayed->second.sequence;
     answer.target = relayed->second.target;
-    acknowledge(relayed->second.asker, {}, std::move(answer), out);
+    acknowledge(relayed->second.requester, {}, std::move(answer), out);
     relays_.erase(relayed);
     return out;
 }
@@ -226,10 +227,10 @@
     return out;
 }
 
-membership::actions membership::merge(const std::vector<member>& heard,
+membership::actions membership::merge(const std::vector<member>& received,
                                       instant now) {
     actions out;
-    merge_into(heard, now, out);
+    merge_into(received, now, out);
     return out;
 }
 
@@ -246,7 +247,8 @@
         item.listed_leaving = found->second;
         if (item.id == table_.self().id) {
             merge_into({item}, now, out);
-        } else if (table_.set_listed(item.id.name, item.listed_leaving, now)) {
+        } else if (table_.set_listed_leaving(item.id.name, item.listed_leaving,
+                                             now)) {
             out.emplace_back(member_changed{item});
             // The member itself makes a listing final or takes it back.
             ping(item.peer, item.id.name, {}, out);
@@ -286,9 +288,9 @@
     return known != nullptr && known->value.id.incarnation > sender.incarnation;
 }
 
-void membership::merge_into(const std::vector<member>& heard, instant now,
+void membership::merge_into(const std::vector<member>& received, instant now,
                             actions& out) {
-    for (const member& item : heard) {
+    for (const member& item : received) {
         const merge_outcome outcome = table_.merge(item, now);
         const bool is_self = item.id.name == table_.self().id.name;
         if (outcome == merge_outcome::superseded && !superseded_) {
@@ -308,22 +310,22 @@
     datagram.sender = table_.self().id;
     datagram.document = document_;
     datagram.held = held_;
-    datagram.members = table_.take(member_bytes(), name);
+    datagram.members = table_.select_records(member_bytes(), name);
     out.emplace_back(send_ping{to, std::move(datagram)});
 }
 
-void membership::acknowledge(const address& to, const process_id& asker,
+void membership::acknowledge(const address& to, const process_id& requester,
                              gossip_ack datagram, actions& out) {
     datagram.sender = table_.self().id;
     datagram.document = document_;
     datagram.held = held_;
-    datagram.members = table_.take(member_bytes(), asker.name);
+    datagram.members = table_.select_records(member_bytes(), requester.name);
     out.emplace_back(send_ack{to, std::move(datagram)});
 }
 
 /// Many processes may ask a witness at once, so the answer is short.
-void membership::answer_question(const address& to, gossip_ack datagram,
-                                 actions& out) {
+void membership::answer_query(const address& to, gossip_ack datagram,
+                              actions& out) {
     datagram.sender = table_.self().id;
     datagram.document = document_;
     datagram.held = held_;
--- a/src/fleet/membership_service.cpp
+++ b/src/fleet/membership_service.cpp
@@ -87,8 +87,8 @@
     detector_.set_revisions(document, std::move(held));
 }
 
-void membership_service::merge(const std::vector<member>& heard) {
-    apply(detector_.merge(heard, steady::now()));
+void membership_service::merge(const std::vector<member>& received) {
+    apply(detector_.merge(received, steady::now()));
 }
 
 void membership_service::on_vm_list(const std::vector<listed_vm>& vms) {
--- a/src/network/links.cpp
+++ b/src/network/links.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t max_waiting_messages = 4096;
+constexpr std::size_t max_pending_messages = 4096;
 constexpr std::size_t datagram_key_bytes = 16;
 
 } // namespace
@@ -44,8 +44,8 @@
     lookup_ = std::move(lookup);
 }
 
-void links::set_started_source(started_source source) {
-    started_ = std::move(source);
+void links::set_started_attempts_source(started_attempts_source source) {
+    started_attempts_ = std::move(source);
 }
 
 void links::on_up(
@@ -81,7 +81,7 @@
 nlohmann::json links::dump() const {
     nlohmann::json state;
     state["refused"] = refused_;
-    state["silenced"] = silenced_;
+    state["silenced"] = timed_out_;
     state["open"] = nlohmann::json::array();
     for (const auto& [id, record] : records_)
         state["open"].push_back({{"peer", to_string(record.peer.process)},
@@ -104,7 +104,7 @@
     record.peer.process.name = process;
     record.peer.outgoing = true;
     record.peer.epoch = ++epochs_[process];
-    record.heard = steady::now();
+    record.last_received = steady::now();
     records_.emplace(static_cast<std::uint64_t>(id), std::move(record));
     outgoing_.emplace(process, id);
     return true;
@@ -117,9 +117,9 @@
     link_record& record = records_.at(static_cast<std::uint64_t>(id));
     if (record.established)
         return network_.send(id, value);
-    if (record.waiting.size() >= max_waiting_messages)
+    if (record.pending.size() >= max_pending_messages)
         return false;
-    record.waiting.push_back(value);
+    record.pending.push_back(value);
     return true;
 }
 
@@ -151,14 +151,14 @@
     if (!outgoing) {
         link_record record;
         record.peer.connection = id;
-        record.heard = steady::now();
+        record.last_received = steady::now();
         records_.emplace(static_cast<std::uint64_t>(id), std::move(record));
         return;
     }
     const auto found = records_.find(static_cast<std::uint64_t>(id));
     if (found == records_.end())
         return;
-    found->second.heard = steady::now();
+    found->second.last_received = steady::now();
     network_.send(id,
                   hello{configuration_.cluster.token, self_,
                         configuration_.process.role, found->second.peer.epoch});
@@ -168,7 +168,7 @@
     const auto found = records_.find(static_cast<std::uint64_t>(id));
     if (found == records_.end())
         return;
-    found->second.heard = steady::now();
+    found->second.last_received = steady::now();
     if (const auto* greeting = std::get_if<hello>(&value)) {
         accept_hello(id, *greeting);
         return;
@@ -203,26 +203,26 @@
         end_link(id, "hello refused");
         return;
     }
-    const std::pair<std::uint64_t, std::uint64_t> greeted{
+    const std::pair<std::uint64_t, std::uint64_t> current{
         greeting.sender.incarnation, greeting.epoch};
     auto& latest = latest_[greeting.sender.name];
-    if (greeted <= latest) {
+    if (current <= latest) {
         ++refused_;
         end_link(id, "hello of an earlier epoch");
         return;
     }
-    latest = greeted;
+    latest = current;
     record.peer.process = greeting.sender;
     record.peer.role = greeting.role;
     record.peer.epoch = greeting.epoch;
     record.established = true;
     const link_peer peer = record.peer;
-    retire_older(peer);
+    close_older_connections(peer);
     hello_reply answer;
     answer.sender = self_;
     answer.role = configuration_.process.role;
-    if (started_)
-        answer.started = started_(peer);
+    if (started_attempts_)
+        answer.started = started_attempts_(peer);
     network_.send(id, answer);
     for (const auto& handler : up_handlers_)
         handler(peer, answer);
@@ -240,10 +240,10 @@
     record.peer.role = greeting.role;
     record.established = true;
     const link_peer peer = record.peer;
-    const std::vector<message> waiting = std::exchange(record.waiting, {});
+    const std::vector<message> pending = std::exchange(record.pending, {});
     for (const auto& handler : up_handlers_)
         handler(peer, greeting);
-    for (const message& value : waiting)
+    for (const message& value : pending)
         network_.send(id, value);
 }
 
@@ -262,7 +262,7 @@
         handler(record.peer, reason);
 }
 
-void links::retire_older(const link_peer& latest) {
+void links::close_older_connections(const link_peer& latest) {
     std::vector<connection_id> older;
     for (const auto& [id, record] : records_) {
         if (!record.peer.outgoing && record.established &&
@@ -276,15 +276,15 @@
 
 void links::tick() {
     const instant now = steady::now();
-    std::vector<connection_id> silent;
+    std::vector<connection_id> timed_out;
     for (const auto& [id, record] : records_) {
-        if (now - record.heard > configuration_.cluster.silence_timeout)
-            silent.push_back(connection_id{id});
+        if (now - record.last_received > configuration_.cluster.silence_timeout)
+            timed_out.push_back(connection_id{id});
         else if (record.established)
             network_.send(connection_id{id}, heartbeat{next_heartbeat_++});
     }
-    for (const connection_id id : silent) {
-        ++silenced_;
+    for (const connection_id id : timed_out) {
+        ++timed_out_;
         end_link(id, "silent");
     }
 }
--- a/src/network/network.cpp
+++ b/src/network/network.cpp
@@ -45,10 +45,10 @@
 network::~network() {
     for (auto& [id, record] : connections_)
         ::close(record.descriptor);
-    if (listener_ >= 0)
-        ::close(listener_);
-    if (datagrams_ >= 0)
-        ::close(datagrams_);
+    if (listener_socket_ >= 0)
+        ::close(listener_socket_);
+    if (datagram_socket_ >= 0)
+        ::close(datagram_socket_);
 }
 
 void network::set_callbacks(callbacks handlers) {
@@ -60,15 +60,16 @@
 }
 
 leaf::result<void> network::listen(const address& local) {
-    BOOST_LEAF_ASSIGN(listener_,
+    BOOST_LEAF_ASSIGN(listener_socket_,
                       open_listener(local, listen_backlog, "network.listen"));
-    datagrams_ = open_socket(SOCK_DGRAM);
-    set_option(datagrams_, SOL_SOCKET, SO_RCVBUF, datagram_buffer_bytes);
-    if (!bind_to(datagrams_, *to_socket_address(local)))
+    datagram_socket_ = open_socket(SOCK_DGRAM);
+    set_option(datagram_socket_, SOL_SOCKET, SO_RCVBUF, datagram_buffer_bytes);
+    if (!bind_to(datagram_socket_, *to_socket_address(local)))
         return fail(error_code::unavailable, "network.listen", to_string(local),
                     system_message());
-    core_.watch(listener_, EPOLLIN, [this](std::uint32_t) { accept_all(); });
-    core_.watch(datagrams_, EPOLLIN,
+    core_.watch(listener_socket_, EPOLLIN,
+                [this](std::uint32_t) { accept_all(); });
+    core_.watch(datagram_socket_, EPOLLIN,
                 [this](std::uint32_t) { read_datagrams(); });
     return {};
 }
@@ -94,7 +95,7 @@
     state["sent_bytes"] = sent_bytes_;
     state["received_bytes"] = received_bytes_;
     state["connections"] = connections_.size();
-    state["strange_datagrams"] = strange_datagrams_;
+    state["strange_datagrams"] = rejected_datagrams_;
     return state;
 }
 
@@ -132,8 +133,8 @@
     }
     record.output += encode_frame(value);
     // Frames of one turn take one call.
-    if (!record.connecting && !record.waits_for_room &&
-        !std::exchange(record.has_flush, true))
+    if (!record.connecting && !record.write_blocked &&
+        !std::exchange(record.flush_scheduled, true))
         core_.at_turn_end([this, connection] { flush(connection); });
     return true;
 }
@@ -145,7 +146,7 @@
         return;
     const connection_record& record = found->second;
     // Frames that wait for the end of the turn were sent before this call.
-    if (record.has_flush)
+    if (record.flush_scheduled)
         static_cast<void>(
             ::send(record.descriptor, record.output.data() + record.written,
                    record.output.size() - record.written, MSG_NOSIGNAL));
@@ -159,7 +160,7 @@
     if (!raw || payload.size() > max_datagram_bytes)
         return;
     const auto sent =
-        sendto(datagrams_, payload.data(), payload.size(), 0,
+        sendto(datagram_socket_, payload.data(), payload.size(), 0,
                reinterpret_cast<const sockaddr*>(&*raw), sizeof(*raw));
     if (sent > 0)
         sent_bytes_ += static_cast<std::uint64_t>(sent);
@@ -170,7 +171,7 @@
         sockaddr_in raw{};
         socklen_t size = sizeof(raw);
         const int descriptor =
-            accept4(listener_, reinterpret_cast<sockaddr*>(&raw), &size,
+            accept4(listener_socket_, reinterpret_cast<sockaddr*>(&raw), &size,
                     SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor < 0)
             return;
@@ -250,28 +251,28 @@
         if (found == connections_.end())
             return;
         connection_record& record = found->second;
-        const std::string_view rest =
+        const std::string_view remaining =
             std::string_view(record.input).substr(offset);
-        if (rest.size() < frame_header_bytes) {
+        if (remaining.size() < frame_header_bytes) {
             record.input.erase(0, offset);
             return;
         }
         error failure;
         const auto header = value_or_error(
-            [&] { return decode_header(rest, record.label); }, failure);
+            [&] { return decode_header(remaining, record.label); }, failure);
         if (!header) {
             drop(id, to_string(failure));
             return;
         }
-        const std::size_t whole = frame_header_bytes + header->length;
-        if (rest.size() < whole) {
+        const std::size_t frame_bytes = frame_header_bytes + header->length;
+        if (remaining.size() < frame_bytes) {
             record.input.erase(0, offset);
             return;
         }
         auto value = value_or_error(
             [&] {
                 return decode_payload(
-                    rest.substr(frame_header_bytes, header->length),
+                    remaining.substr(frame_header_bytes, header->length),
                     record.label);
             },
             failure);
@@ -279,7 +280,7 @@
             drop(id, to_string(failure));
             return;
         }
-        offset += whole;
+        offset += frame_bytes;
         handlers_.received(id, std::move(*value));
     }
 }
@@ -289,14 +290,14 @@
     if (found == connections_.end())
         return;
     connection_record& record = found->second;
-    record.has_flush = false;
+    record.flush_scheduled = false;
     while (record.written < record.output.size()) {
         const auto count =
             ::send(record.descriptor, record.output.data() + record.written,
                    record.output.size() - record.written, MSG_NOSIGNAL);
         if (count < 0) {
             if (errno == EAGAIN || errno == EINTR) {
-                if (!std::exchange(record.waits_for_room, true))
+                if (!std::exchange(record.write_blocked, true))
                     core_.rewatch(record.descriptor, EPOLLIN | EPOLLOUT);
                 return;
             }
@@ -308,7 +309,7 @@
     }
     record.output.clear();
     record.written = 0;
-    if (std::exchange(record.waits_for_room, false))
+    if (std::exchange(record.write_blocked, false))
         core_.rewatch(record.descriptor, EPOLLIN);
 }
 
@@ -323,8 +324,9 @@
     for (;;) {
         sockaddr_in raw{};
         socklen_t size = sizeof(raw);
-        const auto count = recvfrom(datagrams_, buffer.data(), buffer.size(), 0,
-                                    reinterpret_cast<sockaddr*>(&raw), &size);
+        const auto count =
+            recvfrom(datagram_socket_, buffer.data(), buffer.size(), 0,
+                     reinterpret_cast<sockaddr*>(&raw), &size);
         if (count < 0)
             return;
         received_bytes_ += static_cast<std::uint64_t>(count);
@@ -332,7 +334,7 @@
         std::string_view payload{buffer.data(),
                                  static_cast<std::size_t>(count)};
         if (!payload.starts_with(datagram_key_)) {
-            ++strange_datagrams_;
+            ++rejected_datagrams_;
             continue;
         }
         payload.remove_prefix(datagram_key_.size());
--- a/src/requests/attempt_service.cpp
+++ b/src/requests/attempt_service.cpp
@@ -23,7 +23,7 @@
                 }) {}
 
 void attempt_service::start() {
-    links_.set_started_source([this](const link_peer& peer) {
+    links_.set_started_attempts_source([this](const link_peer& peer) {
         auto result =
             scheduler_.on_link_up(peer.process, peer.epoch, steady::now());
         after_greeting_[static_cast<std::uint64_t>(peer.connection)] =
--- a/tests/backend_registry.cpp
+++ b/tests/backend_registry.cpp
@@ -86,14 +86,14 @@
     second.id = "i-2";
     second.endpoint.port = 81;
     servers.on_list({first, second}, start);
-    CHECK(servers.at({"10.0.0.1", 81}) == std::vector<std::string>{"i-2"});
-    CHECK(servers.at({"10.0.0.9", 80}).empty());
+    CHECK(servers.ids_at({"10.0.0.1", 81}) == std::vector<std::string>{"i-2"});
+    CHECK(servers.ids_at({"10.0.0.9", 80}).empty());
 }
 
 TEST_CASE("entry list - entries that lapse with the store are kept a while") {
     entry_list entries(seconds(2));
     entries.on_listed("one", {"10.0.0.1", 80});
-    entries.on_store_returned(start + seconds(10));
+    entries.on_store_recovered(start + seconds(10));
     entries.on_removed("one", start + seconds(11));
     CHECK(entries.size() == 1);
     entries.advance(start + seconds(13));
@@ -105,6 +105,6 @@
     entries.on_listed("one", {"10.0.0.1", 80});
     entries.on_listed("two", {"10.0.0.2", 80});
     entries.on_removed("one", start + seconds(1));
-    REQUIRE(entries.callers().size() == 1);
-    CHECK(entries.callers().front().host == "10.0.0.2");
+    REQUIRE(entries.caller_addresses().size() == 1);
+    CHECK(entries.caller_addresses().front().host == "10.0.0.2");
 }
--- a/tests/links.cpp
+++ b/tests/links.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr seconds patience{10};
+constexpr seconds timeout{10};
 
 void direct_to(local_node& from, std::uint16_t port) {
     from.link_layer->set_directory([port](const std::string&) {
@@ -41,7 +41,7 @@
     client.core.post("links", [&] {
         client.link_layer->send("agent-1", seal_order{{{"entry-1", 1}, 7}});
     });
-    CHECK(eventually(patience, [&] { return received == 7; }));
+    CHECK(eventually(timeout, [&] { return received == 7; }));
 }
 
 TEST_CASE("links - a wrong token is refused and costs nobody else anything") {
@@ -61,9 +61,9 @@
     client.start();
     stranger.start();
     client.core.post("links", [&] { client.link_layer->open("agent-1"); });
-    REQUIRE(eventually(patience, [&] { return up == 1; }));
+    REQUIRE(eventually(timeout, [&] { return up == 1; }));
     stranger.core.post("links", [&] { stranger.link_layer->open("agent-1"); });
-    CHECK(eventually(patience, [&] { return refused == 1; }));
+    CHECK(eventually(timeout, [&] { return refused == 1; }));
     const auto still_open = client.core.call("links", [&] {
         return client.link_layer->find("agent-1").has_value();
     });
@@ -94,7 +94,7 @@
         });
     raw_connection silent({"127.0.0.1", port});
     silent.send(encode_frame(hello{"token", {"entry-1", 1}, {}, 1}));
-    CHECK(eventually(patience, [&] { return down == 1; }));
+    CHECK(eventually(timeout, [&] { return down == 1; }));
     CHECK(silent.await_end());
 }
 
@@ -110,7 +110,7 @@
     raw_connection older({"127.0.0.1", port});
     older.send(encode_frame(hello{"token", {"entry-1", 1}, {}, 1}));
     older.send(encode_frame(seal_order{{{"entry-1", 1}, 1}}));
-    REQUIRE(eventually(patience, [&] { return last == 1; }));
+    REQUIRE(eventually(timeout, [&] { return last == 1; }));
     raw_connection newer({"127.0.0.1", port});
     newer.send(encode_frame(hello{"token", {"entry-1", 1}, {}, 2}));
     CHECK(older.await_end());
@@ -166,11 +166,11 @@
                 "strange_datagrams", 0);
         });
     };
-    REQUIRE(eventually(patience, [&] { return strange() == 1; }));
+    REQUIRE(eventually(timeout, [&] { return strange() == 1; }));
     CHECK(received == 0);
     ping.sequence = 1;
     peer.core.post("links", [&] {
         peer.link_layer->send_datagram({"127.0.0.1", port}, ping);
     });
-    CHECK(eventually(patience, [&] { return received == 1; }));
+    CHECK(eventually(timeout, [&] { return received == 1; }));
 }
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -23,7 +23,7 @@
 
     explicit fleet(std::size_t witnesses) {
         for (std::size_t index = 0; index < witnesses; ++index)
-            seeds_.push_back({name_of(index), address_of(name_of(index))});
+            witnesses_.push_back({name_of(index), address_of(name_of(index))});
     }
 
     static std::string name_of(std::size_t index) {
@@ -43,7 +43,8 @@
         self.peer = address_of(name);
         self.http = address_of(name);
         nodes_.erase(name);
-        nodes_.emplace(name, membership(self, seeds_, interval, incarnation));
+        nodes_.emplace(name,
+                       membership(self, witnesses_, interval, incarnation));
     }
 
     void start_all(std::size_t count) {
@@ -62,7 +63,7 @@
     void run(std::chrono::milliseconds time) {
         for (const instant end = now + time; now < end; now += step) {
             for (auto& [name, node] : nodes_) {
-                if (!frozen.contains(name))
+                if (!paused.contains(name))
                     deliver(name, node.tick(now));
             }
             drain();
@@ -102,7 +103,7 @@
     }
 
     /// Counts the detectors that give `name` new work.
-    [[nodiscard]] std::size_t users(const std::string& name) const {
+    [[nodiscard]] std::size_t count_available(const std::string& name) const {
         std::size_t seen = 0;
         for (const auto& [at, node] : nodes_) {
             for (const member& item : node.alive(process_role::entry))
@@ -119,11 +120,13 @@
     }
 
     instant now = instant() + std::chrono::hours(1);
-    filter passes = [](const std::string&, const std::string&) { return true; };
-    std::set<std::string> frozen;
+    filter delivers = [](const std::string&, const std::string&) {
+        return true;
+    };
+    std::set<std::string> paused;
     std::map<std::string, process_id> superseded_by;
     std::map<std::string, std::size_t> sent_bytes;
-    std::size_t largest = 0;
+    std::size_t largest_datagram = 0;
 
   private:
     struct datagram {
@@ -138,11 +141,11 @@
             queue_.pop_front();
             const std::size_t size = encode_payload(next.value).size();
             sent_bytes[next.from] += size;
-            largest = std::max(largest, size);
+            largest_datagram = std::max(largest_datagram, size);
             const std::string to = "p" + next.to.host.substr(7);
             const auto found = nodes_.find(to);
-            if (found == nodes_.end() || frozen.contains(to) ||
-                !passes(next.from, to))
+            if (found == nodes_.end() || paused.contains(to) ||
+                !delivers(next.from, to))
                 continue;
             const address from = address_of(next.from);
             if (const auto* ping = std::get_if<gossip_ping>(&next.value))
@@ -152,7 +155,7 @@
         }
     }
 
-    std::vector<witness_settings> seeds_;
+    std::vector<witness_settings> witnesses_;
     std::map<std::string, membership> nodes_;
     std::deque<datagram> queue_;
 };
@@ -181,7 +184,7 @@
     fleet all(3);
     all.start_all(12);
     all.run(seconds(10));
-    all.passes = [](const std::string& from, const std::string& to) {
+    all.delivers = [](const std::string& from, const std::string& to) {
         return !((from == "p4" && to == "p5") || (from == "p5" && to == "p4"));
     };
     std::size_t suspicions = 0;
@@ -201,12 +204,12 @@
     const auto side = [](const std::string& name) {
         return std::stoi(name.substr(1)) % 2;
     };
-    all.passes = [&](const std::string& from, const std::string& to) {
+    all.delivers = [&](const std::string& from, const std::string& to) {
         return side(from) == side(to);
     };
     all.run(seconds(120));
-    CHECK(all.users("p3") == 6);
-    all.passes = [](const std::string&, const std::string&) { return true; };
+    CHECK(all.count_available("p3") == 6);
+    all.delivers = [](const std::string&, const std::string&) { return true; };
     all.run(seconds(15));
     CHECK(all.converged());
 }
@@ -236,13 +239,14 @@
     REQUIRE(answer.size() == 1); // nothing it says is taken in
     const auto* ack = std::get_if<send_ack>(&answer.front());
     REQUIRE(ack != nullptr);
-    bool told = false;
+    bool is_superseded = false;
     for (const membership_action& effect :
          older.receive(ack->to, ack->datagram, all.now)) {
         const auto* by = std::get_if<superseded>(&effect);
-        told = told || (by != nullptr && by->by.incarnation == 2);
+        is_superseded =
+            is_superseded || (by != nullptr && by->by.incarnation == 2);
     }
-    CHECK(told);
+    CHECK(is_superseded);
     all.run(seconds(2));
     CHECK(all.converged());
 }
@@ -252,16 +256,16 @@
     all.start_all(8);
     all.run(seconds(10));
     // Its last probes before the pause are lost, so it suspects somebody.
-    all.passes = [](const std::string& from, const std::string&) {
+    all.delivers = [](const std::string& from, const std::string&) {
         return from != "p6";
     };
     all.run(milliseconds(1250));
     REQUIRE(all.at("p6").alive(process_role::entry).size() < 8);
-    all.passes = [](const std::string&, const std::string&) { return true; };
-    all.frozen = {"p6"};
+    all.delivers = [](const std::string&, const std::string&) { return true; };
+    all.paused = {"p6"};
     all.run(seconds(60));
-    CHECK(all.users("p6") == 1); // itself
-    all.frozen.clear();
+    CHECK(all.count_available("p6") == 1); // itself
+    all.paused.clear();
     for (int ticks = 0; ticks < 8; ++ticks) {
         all.run(step);
         CHECK(all.at("p6").members().size() == 8); // nobody is dead
@@ -277,17 +281,17 @@
     all.run(seconds(10));
     all.deliver("p9", all.at("p9").set_leaving());
     all.run(seconds(3));
-    CHECK(all.users("p9") == 0);
+    CHECK(all.count_available("p9") == 0);
     CHECK(all.count("p9", member_state::leaving) == 26);
     // Silence while it drains does not bring it back.
-    all.frozen = {"p9"};
+    all.paused = {"p9"};
     all.run(seconds(2));
-    CHECK(all.users("p9") == 0);
+    CHECK(all.count_available("p9") == 0);
     CHECK(all.count("p9", member_state::suspect) == 0);
     CHECK(all.count("p9", member_state::leaving) >= 1);
-    all.frozen.clear();
+    all.paused.clear();
     all.run(seconds(20));
-    CHECK(all.users("p9") == 0);
+    CHECK(all.count_available("p9") == 0);
 }
 
 TEST_CASE("membership - leaving in the platform's list alone counts") {
@@ -296,7 +300,7 @@
     all.run(seconds(10));
     all.deliver("p0", all.at("p0").on_vm_list({{"vm-p9", true}}, all.now));
     all.run(seconds(3));
-    CHECK(all.users("p9") == 0);
+    CHECK(all.count_available("p9") == 0);
     CHECK(all.at("p9").self().listed_leaving);
 }
 
@@ -310,12 +314,12 @@
         all.deliver("p0", all.at("p0").on_vm_list({{"vm-p9", true}}, all.now));
         all.run(seconds(1));
     }
-    CHECK(all.users("p9") == 0);
+    CHECK(all.count_available("p9") == 0);
     for (int poll = 0; poll < 5; ++poll) {
         all.deliver("p0", all.at("p0").on_vm_list({{"vm-p9", false}}, all.now));
         all.run(seconds(1));
     }
-    CHECK(all.users("p9") == 12);
+    CHECK(all.count_available("p9") == 12);
 }
 
 TEST_CASE("membership - a VM that the list lacks is judged by its peers") {
@@ -334,7 +338,7 @@
     member accused = all.at("p5").self();
     accused.state = member_state::dead;
     all.deliver("p0", all.at("p0").merge({accused}, all.now));
-    CHECK(all.users("p5") == 7);
+    CHECK(all.count_available("p5") == 7);
     all.run(seconds(10));
     CHECK(all.converged());
     CHECK(all.at("p5").self().counter > accused.counter);
@@ -356,7 +360,7 @@
     }
     all.run(seconds(15));
     CHECK(all.converged());
-    CHECK(all.largest <= 1400);
+    CHECK(all.largest_datagram <= 1400);
     all.sent_bytes.clear();
     all.run(seconds(20));
     std::size_t total = 0;
--- a/tests/site_watch.cpp
+++ b/tests/site_watch.cpp
@@ -213,7 +213,7 @@
     store.put("servers/i-1", server_text(80));
     store.set_status(0);
     REQUIRE(running.until(
-        [&] { return in_force() == 3 && entry.servers.is_known(); },
+        [&] { return in_force() == 3 && entry.servers.has_list(); },
         seconds(2)));
     store.set_status(429);
     std::this_thread::sleep_for(milliseconds(600));
