--- a/include/ospreystage/fleet/entry_list.hpp
+++ b/include/ospreystage/fleet/entry_list.hpp
@@ -10,19 +10,19 @@
 
 namespace ospreystage {
 
-/// Entries that callers may be sent to.
+/// Entries that callers may be directed to.
 ///
-/// After an outage of the store, entries that lapsed meanwhile are kept for as
-/// long as they need to register again.
+/// After an outage of the store, entries whose registration expired meanwhile
+/// are kept for the time that they need to register again.
 class entry_list {
   public:
     explicit entry_list(milliseconds reregistration_time)
         : reregistration_time_(reregistration_time) {}
 
-    /// `callers` is where the entry takes requests.
+    /// `callers` is the address at which the entry accepts requests.
     void on_listed(const std::string& name, const address& callers);
     void on_removed(const std::string& name, instant now);
-    /// Everything that is not in `names` was removed.
+    /// Treats every entry that is not in `names` as removed.
     void retain(const std::vector<std::string>& names, instant now);
     void on_store_recovered(instant now) { outage_ended_ = now; }
     void advance(instant now);
--- a/include/ospreystage/fleet/fleet_status.hpp
+++ b/include/ospreystage/fleet/fleet_status.hpp
@@ -11,13 +11,13 @@
 
 namespace ospreystage {
 
-/// What is in force on each VM, since when, and which VMs are missing.
+/// Tracks the revision in force on each VM, since when, and missing VMs.
 class fleet_status {
   public:
     explicit fleet_status(kernel& core);
 
-    /// Describes every member, and the VMs of `document` (may be null) that
-    /// no member reports for.
+    /// Returns the status of every member and lists the VMs of `document` (may
+    /// be null) for which there is no member.
     [[nodiscard]] nlohmann::json
     describe(const rollout_document* document) const;
 
--- a/include/ospreystage/fleet/member_table.hpp
+++ b/include/ospreystage/fleet/member_table.hpp
@@ -12,28 +12,28 @@
 
 namespace ospreystage {
 
-/// What a heard record did to the table.
+/// Effect of a received record on the table.
 enum class merge_outcome {
-    ignored,    ///< Older than, or the same as, what is known.
+    ignored,    ///< Not newer than the known record.
     changed,    ///< A record was added or replaced.
-    refuted,    ///< It wrongly suspected this process, which now contradicts.
-    superseded, ///< It names a newer incarnation of this process.
+    refuted,    ///< It declared this process failed; this process refutes it.
+    superseded, ///< It describes a newer incarnation of this process.
 };
 
-/// Members of the fleet and the records that still have to be spread.
+/// Members of the fleet and the records still to be disseminated.
 ///
 /// Records of one name are ordered by incarnation, then by counter, then by
 /// state (alive, suspect, leaving, dead). Only the process itself raises its
-/// counter. At equal counters a listing as leaving holds until the process
-/// itself publishes a higher counter without it.
+/// counter. Among records of equal counter, `listed_leaving` stays set until
+/// the process itself publishes a higher counter with it cleared.
 class member_table {
   public:
-    /// A member and what this process does about it.
+    /// A member with the local state of its dissemination and probing.
     struct record {
         member value;
-        std::uint32_t remaining_sends = 0; ///< Datagrams that still carry it.
-        bool urgent = false;               ///< More changed than `in_force`.
-        instant changed_at{}; ///< Time of the last change of state.
+        std::uint32_t remaining_sends = 0; ///< Datagrams still to carry it.
+        bool urgent = false;               ///< Not only `in_force` changed.
+        instant changed_at{};              ///< Time of the last urgent change.
         std::optional<instant> unanswered_since; ///< First unanswered probe.
     };
 
@@ -45,7 +45,7 @@
 
     [[nodiscard]] const member& self() const noexcept;
 
-    /// Finds another member; null if its name is not known.
+    /// Returns another member, or null if its name is not known.
     [[nodiscard]] const record* find(const std::string& name) const;
 
     /// Returns every member that is not dead, this process first.
@@ -54,43 +54,43 @@
     /// Returns every member, this process first.
     [[nodiscard]] std::vector<member> all() const;
 
-    /// Names of the other members, dead or not dead.
+    /// Returns the names of the other members that are dead, or that are not.
     [[nodiscard]] std::vector<std::string> names(bool dead) const;
 
-    /// Rounded-up binary logarithm of the number of members that are not dead.
+    /// Returns the bit width of the number of members that are not dead.
     [[nodiscard]] std::uint32_t log_size() const;
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Takes in a record heard from a peer.
+    /// Merges a record received from a peer.
     merge_outcome merge(const member& received, instant now);
 
-    /// Notes that a member did not answer a probe; returns true on a change.
+    /// Suspects a member that did not answer a probe; returns true on a change.
     bool suspect(const std::string& name, instant now);
 
-    /// Notes that a member answered a probe.
+    /// Records that a member answered a probe.
     void on_probe_answered(const std::string& name);
 
-    /// Declares members dead that stayed silent for `limit`; returns them.
+    /// Declares members dead that did not answer for `limit`; returns them.
     std::vector<member> expire(instant now, std::chrono::nanoseconds limit);
 
     /// Removes members that have been dead for `retention`.
     void prune_dead(instant now, std::chrono::nanoseconds retention);
 
-    /// Restarts the silence of every member, as after a pause of this process.
+    /// Restarts all suspicion time-outs, as after a pause of this process.
     void restart_suspicion_timers(instant now);
 
     /// Sets whether the platform lists a member as leaving; true on a change.
     bool set_listed_leaving(const std::string& name, bool leaving, instant now);
 
-    /// Publishes that this process leaves; returns false if it did before.
+    /// Publishes that this process is leaving; returns false if already so.
     bool set_leaving();
 
     /// Publishes the revision in force here.
     void set_in_force(std::uint64_t number);
 
-    /// Picks records for a datagram: this process, `first` if it is known,
-    /// changed members, then the next ones of a rotation over all.
+    /// Selects the records for a datagram: this process, `first` if known,
+    /// changed members, then the next members in a round-robin over all.
     [[nodiscard]] std::vector<member> select_records(std::size_t max_bytes,
                                                      const std::string& first);
 
@@ -100,10 +100,10 @@
 
     member self_;
     std::map<std::string, record> others_;
-    std::string rotation_cursor_; ///< Last member that the rotation took.
+    std::string rotation_cursor_; ///< Last member of the round-robin.
 };
 
-/// Returns the encoded size of a member in bytes.
+/// Returns an estimate of the encoded size of a member in bytes.
 [[nodiscard]] std::size_t wire_bytes(const member& value) noexcept;
 
 } // namespace ospreystage
--- a/include/ospreystage/fleet/membership.hpp
+++ b/include/ospreystage/fleet/membership.hpp
@@ -19,46 +19,46 @@
 
 namespace ospreystage {
 
-/// Send a ping as one datagram.
+/// Action: send a ping as one datagram.
 struct send_ping {
     address to;
     gossip_ping datagram;
 };
 
-/// Send an acknowledgement as one datagram.
+/// Action: send an acknowledgement as one datagram.
 struct send_ack {
     address to;
     gossip_ack datagram;
 };
 
-/// A member, or this process itself, was added or has another state.
+/// A member (or this process) was added, or its record changed.
 struct member_changed {
     member value;
 };
 
-/// A newer incarnation of this process runs: this one has to exit.
+/// A newer incarnation of this process is running; this one must exit.
 struct superseded {
     process_id by;
 };
 
-/// What the failure detector asks of its shell.
+/// Actions and events that the failure detector returns to its caller.
 using membership_action = std::variant<send_ping, send_ack, member_changed,
                                        superseded, revision_report>;
 
-/// Failure detector and member table in the manner of SWIM.
+/// Failure detector and member table based on the SWIM protocol.
 ///
-/// Probes one member an interval, through others if it does not answer, and
-/// carries changed records on the probes, so that the cost of a process does
-/// not grow with the fleet. Probes dead members and absent witnesses now and
-/// then, so that two sides of a healed partition find each other. Pure: time
-/// is an argument and datagrams are returned as actions.
+/// Probes one member per interval, indirectly if it does not answer, and
+/// piggybacks changed records on the probes, so that the cost per process does
+/// not grow with the fleet. Also probes dead members and absent witnesses
+/// periodically, so that the sides of a healed partition rejoin. Does no I/O:
+/// time is an argument and datagrams are returned as actions.
 class membership {
   public:
     using actions = std::vector<membership_action>;
 
     // ---- Construction ------------------------------------------------------
 
-    /// `interval` is the time between probes; `seed` orders them.
+    /// `interval` is the time between probes; `seed` randomises their order.
     membership(member self, std::vector<witness_settings> witnesses,
                milliseconds interval, std::uint64_t seed);
 
@@ -69,8 +69,8 @@
     /// Returns every member that is not dead, this process first.
     [[nodiscard]] std::vector<member> members() const;
 
-    /// Returns the members of `role` that may get new work: alive, neither
-    /// suspected nor leaving nor listed as leaving.
+    /// Returns the members of `role` that may receive new work: alive, neither
+    /// suspected nor leaving, and not listed as leaving.
     [[nodiscard]] std::vector<member> alive(process_role role) const;
 
     /// Returns the peer address of a member or witness.
@@ -81,7 +81,7 @@
 
     // ---- Inputs ------------------------------------------------------------
 
-    /// Call it at least twice an interval.
+    /// Runs the periodic work; call it at least twice per interval.
     [[nodiscard]] actions tick(instant now);
 
     [[nodiscard]] actions receive(const address& from, const gossip_ping& ping,
@@ -89,38 +89,38 @@
     [[nodiscard]] actions receive(const address& from, const gossip_ack& ack,
                                   instant now);
 
-    /// Pings a member or witness apart from the probes, without members.
+    /// Pings a member or witness outside the probing rounds, without members.
     ///
-    /// The ping's sequence is that of the one action returned; nothing is
-    /// returned if the address of `name` is not known.
+    /// Returns one `send_ping`, which holds the sequence of the query, or no
+    /// action if the address of `name` is not known.
     [[nodiscard]] actions query(const std::string& name);
 
-    /// Takes in the members of a `sync_reply`.
+    /// Merges the members of a `sync_reply`.
     [[nodiscard]] actions merge(const std::vector<member>& received,
                                 instant now);
 
-    /// Takes in the platform's list; VMs that it lacks are not judged.
+    /// Applies the platform's list; VMs that are not listed keep their state.
     [[nodiscard]] actions on_vm_list(const std::vector<listed_vm>& vms,
                                      instant now);
 
-    /// Publishes that this process leaves; final for its incarnation.
+    /// Publishes that this process is leaving; final for its incarnation.
     [[nodiscard]] actions set_leaving();
 
     /// Publishes the revision in force here.
     void set_in_force(revision number);
 
-    /// Sets what datagrams tell of the configuration.
+    /// Sets the configuration revisions that datagrams report.
     void set_revisions(revision document, std::vector<held_revision> held);
 
   private:
     struct probe_state {
         std::string name;
         std::uint64_t sequence = 0;
-        bool indirect = false; ///< Others were asked to probe it too.
+        bool indirect = false; ///< Indirect probes were sent.
     };
     struct relay_state {
         address requester;
-        std::uint64_t sequence = 0; ///< Of the requester's ping.
+        std::uint64_t sequence = 0; ///< Sequence of the requester's ping.
         std::string target;
         instant since{};
     };
@@ -152,15 +152,14 @@
     std::optional<instant> last_tick_;
     instant period_start_{};
     std::optional<probe_state> probe_;
-    std::vector<std::string>
-        probe_order_; ///< Rest of the current probing round.
+    std::vector<std::string> probe_order_; ///< Remaining in this round.
     absl::flat_hash_map<std::uint64_t, relay_state> relays_;
     bool superseded_ = false;
     revision document_ = 0;
     std::vector<held_revision> held_;
 };
 
-/// Returns true if the member may get new work.
+/// Returns true if the member may receive new work.
 [[nodiscard]] bool takes_new_work(const member& value) noexcept;
 
 /// Returns the name of a state as it appears in dumps.
--- a/include/ospreystage/fleet/membership_service.hpp
+++ b/include/ospreystage/fleet/membership_service.hpp
@@ -12,9 +12,9 @@
 
 namespace ospreystage {
 
-/// Service `membership`: the failure detector on the kernel thread.
+/// Service `membership`: runs the failure detector on the kernel thread.
 ///
-/// Subscribes to the detector's datagrams and is the directory of `links`.
+/// Receives the detector's datagrams and resolves addresses for `links`.
 /// Construct it before `links::start`.
 class membership_service {
   public:
@@ -34,25 +34,25 @@
     /// Returns every member that is not dead, this process first.
     [[nodiscard]] std::vector<member> members() const;
 
-    /// Returns the members of `role` that may get new work.
+    /// Returns the members of `role` that may receive new work.
     [[nodiscard]] std::vector<member> alive(process_role role) const;
 
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Events ------------------------------------------------------------
 
-    /// Calls `handler` when a member, or this process, changed its state.
+    /// Calls `handler` when the record of a member (or this process) changes.
     void on_change(change_handler handler);
 
-    /// Calls `handler` once, when a newer incarnation of this process runs.
+    /// Calls `handler` once, when a newer incarnation of this process is seen.
     void on_superseded(superseded_handler handler);
 
-    /// Calls `handler` with what datagrams tell of the configuration.
+    /// Calls `handler` with the configuration revisions reported in datagrams.
     void on_revisions(revisions_handler handler);
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Publishes that this process leaves.
+    /// Publishes that this process is leaving.
     void set_leaving();
 
     void set_in_force(revision number);
@@ -60,8 +60,8 @@
     void merge(const std::vector<member>& received);
     void on_vm_list(const std::vector<listed_vm>& vms);
 
-    /// Asks a process what it holds of the configuration; the answer arrives
-    /// as `revision_report`. Returns the query's sequence, 0 if the address
+    /// Queries the configuration revisions of a process; the answer arrives as
+    /// a `revision_report`. Returns the query's sequence, or 0 if the address
     /// is not known.
     std::uint64_t query(const std::string& name);
 
--- a/include/ospreystage/network/codec.hpp
+++ b/include/ospreystage/network/codec.hpp
@@ -10,19 +10,19 @@
 
 namespace ospreystage {
 
-/// Largest payload of a frame in bytes; checked before anything is decoded.
+/// Maximum payload of a frame in bytes; checked before decoding.
 inline constexpr std::size_t max_frame_bytes = 5 * 1024 * 1024;
 
-/// Bytes before the payload: length (4) and protocol version (2), big endian.
+/// Size of the header: payload length (4) and protocol version (2), big endian.
 inline constexpr std::size_t frame_header_bytes = 6;
 
-/// Largest datagram in bytes.
+/// Maximum size of a datagram in bytes.
 inline constexpr std::size_t max_datagram_bytes = 60 * 1024;
 
 /// Encodes a message as a payload without a header.
 [[nodiscard]] std::string encode_payload(const message& value);
 
-/// Decodes a payload. Lengths inside it are checked against its size first.
+/// Decodes a payload; checks encoded lengths against its size beforehand.
 [[nodiscard]] leaf::result<message> decode_payload(std::string_view payload,
                                                    const std::string& peer);
 
@@ -31,11 +31,11 @@
 
 /// Header of a frame.
 struct frame_header {
-    std::uint32_t length = 0; ///< Payload bytes.
+    std::uint32_t length = 0; ///< Payload size in bytes.
     std::uint16_t version = 0;
 };
 
-/// Reads a header and checks its length and protocol version.
+/// Decodes a header and validates its length and protocol version.
 [[nodiscard]] leaf::result<frame_header> decode_header(std::string_view bytes,
                                                        const std::string& peer);
 
--- a/include/ospreystage/network/links.hpp
+++ b/include/ospreystage/network/links.hpp
@@ -26,10 +26,10 @@
 /// Authenticated connections to other processes, found by process name.
 ///
 /// Opens a connection on demand, exchanges `hello` and `hello_reply`, sends
-/// heartbeats in both directions and gives up a connection that stays silent.
-/// A peer's connection with a higher epoch or incarnation replaces its older
-/// ones; nothing that is still buffered on those is delivered afterwards.
-/// Messages are delivered on the kernel thread, directly and in order.
+/// heartbeats in both directions and closes connections that time out. A
+/// peer's connection with a higher epoch or incarnation replaces its older
+/// ones; messages still buffered on those are not delivered afterwards.
+/// Messages are delivered on the kernel thread, synchronously and in order.
 class links {
   public:
     using directory = std::function<std::optional<address>(const std::string&)>;
@@ -40,17 +40,17 @@
 
     links(kernel& core, const settings& configuration, process_id self);
 
-    /// Starts listening; services must have subscribed before.
+    /// Starts listening; services must have registered their handlers before.
     [[nodiscard]] leaf::result<void> start();
 
-    /// Sets how a process name is turned into its peer address.
+    /// Sets the function that resolves a process name to its peer address.
     void set_directory(directory lookup);
 
-    /// Sets who lists the started attempts in `hello_reply`.
+    /// Sets the function that returns the started attempts for `hello_reply`.
     void set_started_attempts_source(started_attempts_source source);
 
     /// Delivers every message of type `Message` to `handler`. There is one
-    /// handler a type; a later one replaces an earlier one.
+    /// handler per type; a later one replaces an earlier one.
     template <typename Message>
     void on(std::function<void(const link_peer&, const Message&)> handler);
 
@@ -59,13 +59,13 @@
     void
     on_datagram(std::function<void(const address&, const Message&)> handler);
 
-    /// Calls `handler` when a connection is established; for an outgoing one
-    /// with the peer's reply.
+    /// Calls `handler` when a connection is established, with the peer's reply
+    /// (outgoing connection) or this process's reply (incoming).
     void
     on_up(std::function<void(const link_peer&, const hello_reply&)> handler);
 
-    /// Calls `handler` when an established connection has ended, or when an
-    /// outgoing one could not be established (then with incarnation 0).
+    /// Calls `handler` with the reason when an established connection ended or
+    /// an outgoing one could not be established (then with incarnation 0).
     void
     on_down(std::function<void(const link_peer&, const std::string&)> handler);
 
@@ -77,33 +77,33 @@
     [[nodiscard]] std::optional<link_peer>
     find(const std::string& process) const;
 
-    /// Bytes queued on the outgoing connection to `process`.
+    /// Returns the bytes queued on the outgoing connection to `process`.
     [[nodiscard]] std::size_t pending_bytes(const std::string& process) const;
 
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Opens the outgoing connection to `process` if there is none.
+    /// Opens the outgoing connection to `process` unless it exists.
     ///
     /// Returns false if its address is not known.
     bool open(const std::string& process);
 
-    /// Sends on the outgoing connection; opens it and queues if needed.
+    /// Sends on the outgoing connection; opens it and queues if necessary.
     ///
-    /// Returns false if the address is not known: nothing was sent.
+    /// Returns false if the address is not known or the queue is full.
     bool send(const std::string& process, const message& value);
 
-    /// Sends on one connection; returns false if it is gone.
+    /// Sends on the given connection; returns false if it is closed.
     bool reply(connection_id connection, const message& value);
 
-    /// Closes the outgoing connection to `process`, as after a silence.
+    /// Closes the outgoing connection to `process` and calls the handlers.
     void reset(const std::string& process, const std::string& reason);
 
     /// Closes the outgoing connection to `process` without a callback.
     void close(const std::string& process);
 
-    /// Sends one datagram; it may get lost.
+    /// Sends one datagram; delivery is not guaranteed.
     void send_datagram(const address& remote, const message& value);
 
   private:
@@ -143,7 +143,7 @@
     absl::flat_hash_map<std::uint64_t, link_record> records_;
     absl::flat_hash_map<std::string, connection_id> outgoing_;
     absl::flat_hash_map<std::string, std::uint64_t> epochs_;
-    /// Highest incarnation and epoch greeted with, per peer name.
+    /// Highest incarnation and epoch of an accepted `hello`, per peer name.
     absl::flat_hash_map<std::string, std::pair<std::uint64_t, std::uint64_t>>
         latest_;
     std::uint64_t next_heartbeat_ = 1;
--- a/include/ospreystage/network/messages.hpp
+++ b/include/ospreystage/network/messages.hpp
@@ -13,7 +13,7 @@
 /// Version of the protocol between the system's own processes.
 inline constexpr std::uint16_t protocol_version = 1;
 
-/// Generates the cereal member from the fields in wire order.
+/// Generates the cereal `serialize` member from the fields in wire order.
 #define OSPREYSTAGE_FIELDS(...)                                                \
     template <typename Archive>                                                \
     void serialize(Archive& archive) {                                         \
@@ -30,8 +30,8 @@
     std::string token; ///< Cluster token from the settings.
     process_id sender;
     process_role role = process_role::entry;
-    /// Counts the sender's connections to this peer; orders that arrive on a
-    /// connection with a lower number than the latest are void.
+    /// Counts the sender's connections to this peer; orders received on a
+    /// connection with a lower number than the latest are ignored.
     std::uint64_t epoch = 0;
     OSPREYSTAGE_FIELDS(token, sender, role, epoch)
 };
@@ -39,8 +39,8 @@
 /// Answer to `hello`.
 struct hello_reply {
     process_id sender;
-    /// Attempts of the peer's incarnation that this process has started;
-    /// every other attempt sent on earlier epochs is sealed: it never runs.
+    /// Attempts of the peer's incarnation that this process has started; every
+    /// other attempt sent in earlier epochs is sealed and will never run.
     std::vector<attempt_id> started;
     process_role role = process_role::entry;
     OSPREYSTAGE_FIELDS(sender, started, role)
@@ -57,17 +57,17 @@
 /// Orders an agent to run one attempt.
 struct run_order {
     attempt_id attempt;
-    process_id agent; ///< Incarnation that the entry means; others refuse.
+    process_id agent; ///< Intended incarnation; others refuse.
     std::string organisation;
     std::string service;
     std::string request_class;
     std::string method; ///< HTTP method for plain services.
-    std::string path;   ///< HTTP path towards the back end.
+    std::string path;   ///< HTTP path on the back end.
     std::string content_type;
     std::string body;
-    digest version; ///< Engine services: version that must answer.
+    digest version; ///< Engine services: required version.
     std::uint32_t priority = 0;
-    std::uint32_t deadline_ms = 0; ///< Time left when sent.
+    std::uint32_t deadline_ms = 0; ///< Remaining time when sent.
     std::uint32_t skip_tokens = 0; ///< Tokens the caller already has (resume).
     bool stream = false;
     bool non_idempotent = false;
@@ -78,7 +78,7 @@
                        idempotency_key)
 };
 
-/// Why an agent did not run an attempt.
+/// Reason for which an agent refused an attempt.
 enum class refusal : std::uint8_t {
     wrong_incarnation,
     version_not_held,
@@ -91,7 +91,7 @@
     not_in_force,
 };
 
-/// The attempt did not run and never will: the agent has sealed it.
+/// The attempt did not run and never will, because the agent sealed it.
 struct run_refused {
     attempt_id attempt;
     refusal reason = refusal::overloaded;
@@ -104,7 +104,7 @@
     attempt_id attempt;
     std::uint16_t status = 0; ///< HTTP status of the back end.
     std::string content_type;
-    digest version; ///< Version that answers, empty for plain services.
+    digest version; ///< Answering version; empty for plain services.
     OSPREYSTAGE_FIELDS(attempt, status, content_type, version)
 };
 
@@ -116,14 +116,14 @@
     OSPREYSTAGE_FIELDS(attempt, index, data)
 };
 
-/// The answer is whole: `parts` parts were sent.
+/// The answer is complete: `parts` parts were sent.
 struct answer_end {
     attempt_id attempt;
     std::uint32_t parts = 0;
     OSPREYSTAGE_FIELDS(attempt, parts)
 };
 
-/// The attempt started and its outcome is not known.
+/// The attempt started and its outcome is unknown.
 struct run_failed {
     attempt_id attempt;
     std::string detail;
@@ -144,22 +144,22 @@
     OSPREYSTAGE_FIELDS(attempt)
 };
 
-/// The caller went away: the agent may stop generating.
+/// The caller disconnected: the agent may stop generating.
 struct cancel_order {
     attempt_id attempt;
     OSPREYSTAGE_FIELDS(attempt)
 };
 
-/// Load and contents of one backend_server as its agent last saw them.
+/// Load and cache contents of one backend_server, as last seen by its agent.
 struct load_report {
     process_id agent;
     std::string service;
     std::uint32_t running = 0;  ///< Attempts in the engine.
     std::uint32_t queued = 0;   ///< Attempts waiting at the agent.
     std::uint32_t capacity = 0; ///< Attempts the engine runs at once.
-    std::uint32_t age_ms = 0;   ///< Age of the engine's own figures.
+    std::uint32_t age_ms = 0;   ///< Age of the engine's own metrics.
     bool leaving = false;
-    std::vector<digest> versions;        ///< Versions that may be asked for.
+    std::vector<digest> versions;        ///< Versions that may be requested.
     std::vector<std::uint64_t> prefixes; ///< Hashes of cached prompt prefixes.
     OSPREYSTAGE_FIELDS(agent, service, running, queued, capacity, age_ms,
                        leaving, versions, prefixes)
@@ -180,7 +180,7 @@
     }
 };
 
-/// What a witness remembers of a key.
+/// Record of a key that a witness stores.
 struct claim_record {
     claim_key key;
     digest body;        ///< Digest of the request; a reuse with another body
@@ -193,30 +193,30 @@
 /// Asks a witness to record `record.attempt` as the owner of its key.
 struct claim_request {
     claim_record record;
-    process_id witness; ///< Incarnation that the entry means.
+    process_id witness; ///< Intended incarnation.
     OSPREYSTAGE_FIELDS(record, witness)
 };
 
-/// A witness's vote: the record that it now holds for the key.
+/// Vote of a witness: the record that it now holds for the key.
 struct claim_reply {
     claim_record held;
     attempt_id asked; ///< Attempt of the request that this answers.
     process_id witness;
     bool recovering = false; ///< The witness may not vote yet.
-    /// Newest incarnation of each other witness that this one has answered a
-    /// recovery for; a vote of an older incarnation does not count.
+    /// Newest incarnation of each other witness whose recovery this one has
+    /// answered; votes of older incarnations do not count.
     std::vector<process_id> known;
     OSPREYSTAGE_FIELDS(held, asked, witness, recovering, known)
 };
 
-/// Takes back a claim whose attempt was never dispatched.
+/// Releases a claim whose attempt was never dispatched.
 struct claim_release {
     claim_key key;
     attempt_id attempt;
     OSPREYSTAGE_FIELDS(key, attempt)
 };
 
-/// A restarted witness asks another for the records they share.
+/// Requests, for a restarted witness, the records that it shares with another.
 struct recover_request {
     process_id witness;
     OSPREYSTAGE_FIELDS(witness)
@@ -225,7 +225,7 @@
 /// Answer to `recover_request`, in pages.
 struct recover_reply {
     process_id sender;
-    process_id witness; ///< Asker's incarnation.
+    process_id witness; ///< Incarnation of the requester.
     bool recovering = false;
     bool last = true;
     std::vector<claim_record> records;
@@ -234,7 +234,7 @@
 
 // ---- Configuration and membership ------------------------------------------
 
-/// Highest revision that a witness holds, as last heard.
+/// Highest revision that a witness holds, as last reported.
 struct held_revision {
     process_id witness;
     std::uint64_t number = 0;
@@ -243,28 +243,28 @@
                            const held_revision&) = default;
 };
 
-/// State of a member as its peers see it.
+/// State of a member as seen by its peers.
 enum class member_state : std::uint8_t { alive, suspect, leaving, dead };
 
-/// What is known of one process of the fleet.
+/// Record of one process of the fleet.
 struct member {
     process_id id;
     process_role role = process_role::entry;
     std::string vm;
     std::string data_centre;
     std::string region;
-    address peer; ///< Port of the system's own protocol (TCP and UDP).
-    address http; ///< Port of the HTTP interface.
+    address peer; ///< Address of the peer protocol (TCP and UDP).
+    address http; ///< Address of the HTTP interface.
     member_state state = member_state::alive;
-    bool listed_leaving = false; ///< The platform's list says leaving.
-    std::uint64_t in_force = 0;  ///< Revision in force there.
-    std::uint32_t counter = 0;   ///< Grows with every change by its owner.
+    bool listed_leaving = false; ///< Listed as leaving by the platform.
+    std::uint64_t in_force = 0;  ///< Revision in force at the member.
+    std::uint32_t counter = 0;   ///< Raised by the member on each change.
     OSPREYSTAGE_FIELDS(id, role, vm, data_centre, region, peer, http, state,
                        listed_leaving, in_force, counter)
     friend bool operator==(const member&, const member&) = default;
 };
 
-/// Datagram of the failure detector; carries rumours with it.
+/// Probe of the failure detector; piggybacks changed member records.
 struct gossip_ping {
     process_id sender;
     std::uint64_t sequence = 0;
@@ -288,7 +288,7 @@
     OSPREYSTAGE_FIELDS(sender, sequence, target, document, held, members)
 };
 
-/// Asks a peer for its whole view of members, held revisions and document.
+/// Requests a peer's complete view of members, held revisions and document.
 struct sync_request {
     process_id sender;
     std::uint64_t document = 0; ///< Highest revision that the sender has.
@@ -298,15 +298,15 @@
 /// Answer to `sync_request`.
 struct sync_reply {
     process_id sender;
-    bool recovered = false; ///< False: started with nothing, has not caught up.
+    bool recovered = false; ///< False: started empty and has not caught up.
     std::uint64_t document = 0;
-    std::string json; ///< Document, empty if the asker is as new.
+    std::string json; ///< Document; empty if the requester is up to date.
     std::vector<held_revision> held;
     std::vector<member> members;
     OSPREYSTAGE_FIELDS(sender, recovered, document, json, held, members)
 };
 
-/// Carries a newer document to a peer at once.
+/// Pushes a newer document to a peer without waiting for a request.
 struct document_push {
     process_id sender;
     std::uint64_t document = 0;
@@ -317,7 +317,7 @@
 
 // ---- Distribution of weights: agent to agent -------------------------------
 
-/// Tells a peer which chunks of a version the sender has.
+/// Announces to a peer which chunks of a version the sender has.
 struct chunk_have {
     process_id sender;
     digest version;
@@ -327,20 +327,20 @@
     OSPREYSTAGE_FIELDS(sender, version, chunks, bitmap, complete)
 };
 
-/// Asks for the manifest of a version.
+/// Requests the manifest of a version.
 struct manifest_request {
     digest version;
     OSPREYSTAGE_FIELDS(version)
 };
 
-/// Answer to `manifest_request`; `json` is empty if it is not held.
+/// Answer to `manifest_request`; `json` is empty if the sender has none.
 struct manifest_reply {
     digest version;
     std::string json;
     OSPREYSTAGE_FIELDS(version, json)
 };
 
-/// Asks for one chunk.
+/// Requests one chunk.
 struct chunk_request {
     digest version;
     std::uint32_t index = 0;
@@ -357,43 +357,43 @@
 
 // ---- Datagrams between entries and the agents beside engines ---------------
 
-/// State of the engine beside an agent, told to entries several times a
+/// State of the engine beside an agent, reported to entries several times per
 /// second.
 struct engine_report {
-    address engine; ///< Where the engine takes requests.
+    address engine; ///< Address at which the engine accepts requests.
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    std::uint64_t version = 0; ///< Whole version in use; 0: none.
-    bool is_loading = false;   ///< Or it will be in a moment.
+    std::uint64_t version = 0; ///< Complete version in use; 0: none.
+    bool is_loading = false;   ///< Loading, or about to load.
     OSPREYSTAGE_FIELDS(engine, running, queued, version, is_loading)
 };
 
-/// Tells the other entries that an engine was sent a request.
+/// Notifies the other entries that a request was sent to an engine.
 ///
-/// Sent for each attempt, so it is small: the address is in numbers.
+/// Sent for each attempt, so it is small: the address is in binary form.
 struct attempt_notice {
     std::uint32_t host = 0; ///< IPv4 address of the engine, in host order.
     std::uint16_t port = 0;
-    std::uint32_t prefill_us = 0; ///< Time that its prompt takes to read.
+    std::uint32_t prefill_us = 0; ///< Prefill time of its prompt.
     OSPREYSTAGE_FIELDS(host, port, prefill_us)
 };
 
 /// An agent of a service, as an entry knows it.
 struct agent_location {
-    std::string host; ///< IP number, which is the agent's name, too.
+    std::string host; ///< IP address, which is also the agent's name.
     std::string data_centre;
     OSPREYSTAGE_FIELDS(host, data_centre)
     friend bool operator==(const agent_location&,
                            const agent_location&) = default;
 };
 
-/// What an agent needs to bring its engine to the wanted version. Also asks
-/// for reports.
+/// Data that an agent needs to bring its engine to the requested version; also
+/// subscribes the sender to reports.
 struct weights_assignment {
     std::string service;
     std::string model;
-    std::uint64_t version = 0; ///< Wanted.
-    /// Time since the version was published, if the sender saw it happen.
+    std::uint64_t version = 0; ///< Requested version.
+    /// Time since the version was published, if the sender observed it.
     std::uint32_t published_ms_ago = 0;
     bool is_observed = false;
     address origin;
@@ -407,7 +407,7 @@
 
 #undef OSPREYSTAGE_FIELDS
 
-/// Every message of the system's own protocol.
+/// Every message of the peer protocol.
 ///
 /// The order is the wire format: new alternatives go to the end.
 using message = std::variant<
--- a/include/ospreystage/network/network.hpp
+++ b/include/ospreystage/network/network.hpp
@@ -14,15 +14,15 @@
 
 namespace ospreystage {
 
-/// Addresses an open TCP connection of the `network` service.
+/// Identifies a TCP connection of the `network` service.
 enum class connection_id : std::uint64_t {};
 
-/// Frames over TCP and datagrams over UDP; knows nothing of their meaning.
+/// Transport of frames over TCP and of datagrams over UDP.
 ///
-/// Runs on the kernel thread. A broken frame closes its connection only.
+/// Runs on the kernel thread. A malformed frame closes its connection only.
 class network {
   public:
-    /// Receives what happens on connections.
+    /// Handlers of connection events and received datagrams.
     struct callbacks {
         std::function<void(connection_id, bool outgoing)> opened;
         std::function<void(connection_id, message)> received;
@@ -37,11 +37,11 @@
     network(const network&) = delete;
     network& operator=(const network&) = delete;
 
-    /// Sets the receiver of all events; call it once before `listen`.
+    /// Sets the handlers of all events; call it once, before `listen`.
     void set_callbacks(callbacks handlers);
 
-    /// Sets the bytes that every datagram starts with; datagrams of another
-    /// cluster or of a stranger are dropped.
+    /// Sets the prefix of every datagram; received datagrams without it, such
+    /// as those of another cluster, are dropped.
     void set_datagram_key(std::string key);
 
     /// Listens on TCP and UDP; an address in use is an error.
@@ -49,33 +49,33 @@
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Bytes queued and not yet taken by the operating system.
+    /// Returns the bytes queued and not yet accepted by the operating system.
     [[nodiscard]] std::size_t pending_bytes(connection_id connection) const;
 
-    /// Bytes sent on all connections and datagrams since the start.
+    /// Returns the bytes sent over TCP and UDP since the start.
     [[nodiscard]] std::uint64_t sent_bytes() const noexcept;
 
-    /// Bytes received on all connections and datagrams since the start.
+    /// Returns the bytes received over TCP and UDP since the start.
     [[nodiscard]] std::uint64_t received_bytes() const noexcept;
 
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Starts to connect; `opened` or `closed` follows.
+    /// Starts connecting; `opened` or `closed` is called later.
     connection_id connect(const address& remote);
 
-    /// Queues a message; returns false if the connection is gone or has more
-    /// than `max_pending_bytes` queued (it is closed then).
+    /// Queues a message; returns false if the connection is closed or has more
+    /// than `max_pending_bytes` queued (it is closed in that case).
     bool send(connection_id connection, const message& value);
 
     /// Closes without a `closed` callback.
     void close(connection_id connection);
 
-    /// Sends one datagram; it may get lost.
+    /// Sends one datagram; delivery is not guaranteed.
     void send_datagram(const address& remote, const message& value);
 
-    /// Queue limit of one connection in bytes.
+    /// Limit of the send queue of one connection in bytes.
     static constexpr std::size_t max_pending_bytes = 24 * 1024 * 1024;
 
   private:
@@ -86,8 +86,8 @@
         std::string input;
         std::string output;
         std::size_t written = 0;
-        bool flush_scheduled = false; ///< Waits for the end of the turn.
-        bool write_blocked = false;   ///< The system takes no more now.
+        bool flush_scheduled = false; ///< At the end of this turn.
+        bool write_blocked = false;   ///< The socket buffer is full.
     };
 
     void accept_all();
--- a/include/ospreystage/network/socket_address.hpp
+++ b/include/ospreystage/network/socket_address.hpp
@@ -10,18 +10,18 @@
 
 namespace ospreystage {
 
-/// Converts to the system's form; nothing if the host is no numeric IPv4
-/// address.
+/// Converts to a socket address; returns nothing if the host is not a numeric
+/// IPv4 address.
 [[nodiscard]] std::optional<sockaddr_in>
 to_socket_address(const address& endpoint);
 
-/// Converts from the system's form.
+/// Converts from a socket address.
 [[nodiscard]] address from_socket_address(const sockaddr_in& raw);
 
-/// Makes a TCP socket that does not block and listens at `local`.
+/// Opens a non-blocking TCP socket that listens at `local`.
 ///
-/// `step` names the operation in errors: `invalid_argument` if the host is not
-/// numeric, `unavailable` if the address is in use.
+/// Fails with `invalid_argument` if the host is not numeric and `unavailable`
+/// if the address is in use; `step` names the operation in the error.
 [[nodiscard]] leaf::result<int> open_listener(const address& local, int backlog,
                                               const std::string& step);
 
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Datagrams that carry a changed record, per binary digit of the fleet size.
+/// Datagrams that carry a changed record, per bit of the fleet size.
 constexpr std::uint32_t sends_per_size_bit = 3;
 
-/// Members that the rotation adds to one datagram.
+/// Members that the round-robin adds to one datagram.
 constexpr std::size_t rotation_members = 3;
 
-/// Encoded bytes of a member beside its texts: lengths and numbers.
+/// Encoded size of a member in bytes, without the contents of its strings.
 constexpr std::size_t member_fixed_bytes = 64;
 
 bool is_newer(const member& received, const member& known) {
@@ -28,7 +28,7 @@
            received.counter == known.counter;
 }
 
-/// Returns true if more differs than the revision in force.
+/// Returns true if the records differ in more than the revision in force.
 bool is_urgent(const member& received, const member& known) {
     return received.id != known.id || received.state != known.state ||
            received.listed_leaving != known.listed_leaving;
@@ -153,7 +153,7 @@
 
 void member_table::on_probe_answered(const std::string& name) {
     const auto found = others_.find(name);
-    // A suspicion ends with the suspect's own refutation only.
+    // Only a refutation by the suspect itself ends a suspicion.
     if (found != others_.end() &&
         found->second.value.state != member_state::suspect)
         found->second.unanswered_since.reset();
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -8,11 +8,10 @@
 namespace {
 
 constexpr std::size_t datagram_bytes = 1300;
-constexpr std::size_t datagram_fixed_bytes = 80; ///< Beside the lists.
-constexpr std::size_t held_fixed_bytes = 20;     ///< Beside the name.
+constexpr std::size_t datagram_fixed_bytes = 80; ///< Without the lists.
+constexpr std::size_t held_fixed_bytes = 20;     ///< Without the name.
 constexpr std::size_t indirect_probers = 3;
-constexpr std::uint64_t unreachable_probe_periods =
-    4; ///< Between probes of the dead.
+constexpr std::uint64_t unreachable_probe_periods = 4; ///< Between such probes.
 constexpr std::uint32_t min_suspicion_periods = 4;
 constexpr int pause_intervals = 3; ///< A longer gap between ticks is a pause.
 constexpr int relay_intervals = 4;
@@ -89,7 +88,7 @@
     return out;
 }
 
-/// A process that was paused must not take its own silence for its peers'.
+/// After a pause of this process, missing answers are no sign of failed peers.
 void membership::recover_from_pause(instant now) {
     probe_.reset();
     relays_.clear();
@@ -151,7 +150,7 @@
     }
 }
 
-/// Pings one dead member and the witnesses that are not in the table.
+/// Pings a random dead member and the witnesses that are not in the table.
 void membership::probe_unreachable(actions& out) {
     for (const witness_settings& witness : witnesses_) {
         if (table_.find(witness.name) == nullptr)
@@ -196,7 +195,7 @@
     out.emplace_back(
         revision_report{ack.sender, ack.document, ack.held, ack.sequence});
     if (table_.self().counter != counter)
-        ping(from, ack.sender.name, {}, out); // Refutes at once.
+        ping(from, ack.sender.name, {}, out); // Refute now.
     if (probe_ && ack.sequence == probe_->sequence &&
         (ack.sender.name == probe_->name || ack.target == probe_->name)) {
         table_.on_probe_answered(probe_->name);
@@ -250,7 +249,7 @@
         } else if (table_.set_listed_leaving(item.id.name, item.listed_leaving,
                                              now)) {
             out.emplace_back(member_changed{item});
-            // The member itself makes a listing final or takes it back.
+            // The member itself confirms or clears `listed_leaving`.
             ping(item.peer, item.id.name, {}, out);
         }
     }
@@ -323,7 +322,7 @@
     out.emplace_back(send_ack{to, std::move(datagram)});
 }
 
-/// Many processes may ask a witness at once, so the answer is short.
+/// Omits the members: many processes may query one witness at once.
 void membership::answer_query(const address& to, gossip_ack datagram,
                               actions& out) {
     datagram.sender = table_.self().id;
--- a/src/fleet/vm_list.cpp
+++ b/src/fleet/vm_list.cpp
@@ -39,7 +39,7 @@
                     httplib::to_string(answer.error()));
     if (answer->status != status_ok)
         return fail(error_code::unavailable, "vm_list.read", url,
-                    "status " + std::to_string(answer->status));
+                    "HTTP status " + std::to_string(answer->status));
     return parse_vm_list(answer->body, url);
 }
 
--- a/src/network/codec.cpp
+++ b/src/network/codec.cpp
@@ -36,7 +36,7 @@
         archive(value);
         if (!archive.exhausted())
             return fail(error_code::malformed, "codec.decode", peer,
-                        "bytes after the message");
+                        "trailing bytes after the message");
         return value;
     } catch (const std::exception& problem) {
         return fail(error_code::malformed, "codec.decode", peer,
@@ -61,17 +61,18 @@
                                          const std::string& peer) {
     if (bytes.size() < frame_header_bytes)
         return fail(error_code::malformed, "codec.header", peer,
-                    "header is short");
+                    "frame header truncated");
     frame_header header;
     header.length = read_big_endian(bytes.substr(0, 4));
     header.version =
         static_cast<std::uint16_t>(read_big_endian(bytes.substr(4, 2)));
     if (header.version != protocol_version)
         return fail(error_code::malformed, "codec.header", peer,
-                    "protocol version " + std::to_string(header.version));
+                    "unsupported version " + std::to_string(header.version));
     if (header.length > max_frame_bytes)
         return fail(error_code::too_large, "codec.header", peer,
-                    std::to_string(header.length) + " bytes in one frame");
+                    std::to_string(header.length) +
+                        " payload bytes exceed the frame limit");
     return header;
 }
 
--- a/src/network/network.cpp
+++ b/src/network/network.cpp
@@ -132,7 +132,7 @@
         return false;
     }
     record.output += encode_frame(value);
-    // Frames of one turn take one call.
+    // Frames queued in one event-loop turn are sent with one system call.
     if (!record.connecting && !record.write_blocked &&
         !std::exchange(record.flush_scheduled, true))
         core_.at_turn_end([this, connection] { flush(connection); });
@@ -145,7 +145,7 @@
     if (found == connections_.end())
         return;
     const connection_record& record = found->second;
-    // Frames that wait for the end of the turn were sent before this call.
+    // Frames queued for the end of the turn precede this call: send them now.
     if (record.flush_scheduled)
         static_cast<void>(
             ::send(record.descriptor, record.output.data() + record.written,
@@ -315,7 +315,7 @@
 
 void network::drop(connection_id id, const std::string& reason) {
     close(id);
-    // Posted, so that a caller of `send` is not re-entered.
+    // Posted, because the callback must not run inside a call to `send`.
     core_.post("network", [this, id, reason] { handlers_.closed(id, reason); });
 }
 
--- a/tests/backend_registry.cpp
+++ b/tests/backend_registry.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("backend registry - a missing entry is gone at once") {
+TEST_CASE("backend registry - a missing server is removed at once") {
     backend_registry registry;
     registry.on_list({make_server("a"), make_server("b")}, start);
     registry.on_list({make_server("b")}, start + seconds(1));
@@ -44,7 +44,7 @@
     CHECK(registry.serving("desk").size() == 1);
 }
 
-TEST_CASE("backend registry - lapsed entries have time to come back") {
+TEST_CASE("backend registry - expired servers can register again") {
     backend_registry registry;
     registry.on_list({make_server("a"), make_server("b")}, start);
     registry.on_unreachable(start + seconds(1));
@@ -90,7 +90,7 @@
     CHECK(servers.ids_at({"10.0.0.9", 80}).empty());
 }
 
-TEST_CASE("entry list - entries that lapse with the store are kept a while") {
+TEST_CASE("entry list - entries expired in an outage are kept a while") {
     entry_list entries(seconds(2));
     entries.on_listed("one", {"10.0.0.1", 80});
     entries.on_store_recovered(start + seconds(10));
@@ -100,7 +100,7 @@
     CHECK(entries.size() == 0);
 }
 
-TEST_CASE("entry list - an entry that leaves is gone at once") {
+TEST_CASE("entry list - an entry that leaves is removed at once") {
     entry_list entries(seconds(2));
     entries.on_listed("one", {"10.0.0.1", 80});
     entries.on_listed("two", {"10.0.0.2", 80});
--- a/tests/links.cpp
+++ b/tests/links.cpp
@@ -44,7 +44,7 @@
     CHECK(eventually(timeout, [&] { return received == 7; }));
 }
 
-TEST_CASE("links - a wrong token is refused and costs nobody else anything") {
+TEST_CASE("links - a wrong token is refused without effect on other links") {
     const std::uint16_t port = free_port();
     local_node server("agent-1", port, 1);
     local_node stranger("entry-9", free_port(), 1, "guess");
@@ -82,7 +82,7 @@
     CHECK(early.await_end());
 }
 
-TEST_CASE("links - a silent connection is given up on") {
+TEST_CASE("links - a silent connection is closed") {
     const std::uint16_t port = free_port();
     local_node server("agent-1", port, 1);
     server.start();
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Every process takes in the table of another one, as after a sync.
+    /// Merges the table of another process into each, as after a sync.
     void exchange_tables(std::size_t distance) {
         for (std::size_t index = 0; index < nodes_.size(); ++index) {
             const std::size_t other = (index * 7 + distance) % nodes_.size();
@@ -102,7 +102,7 @@
         return seen;
     }
 
-    /// Counts the detectors that give `name` new work.
+    /// Counts the detectors that consider `name` available for new work.
     [[nodiscard]] std::size_t count_available(const std::string& name) const {
         std::size_t seen = 0;
         for (const auto& [at, node] : nodes_) {
@@ -162,7 +162,7 @@
 
 } // namespace
 
-TEST_CASE("membership - processes that know only the witnesses meet") {
+TEST_CASE("membership - processes meet through the witnesses") {
     fleet all(3);
     all.start_all(26);
     all.run(seconds(10));
@@ -226,7 +226,7 @@
         CHECK((item.id.name != "p5" || item.id.incarnation == 2));
     CHECK_FALSE(all.superseded_by.contains("p5"));
 
-    // The older one thaws and probes: it learns that it was replaced.
+    // The older one resumes and probes: the answer reports the newer one.
     gossip_ping probe;
     for (const membership_action& action :
          older.tick(all.now + std::chrono::minutes(1))) {
@@ -236,7 +236,7 @@
     REQUIRE(probe.sender.incarnation == 1);
     const auto answer =
         all.at("p3").receive(fleet::address_of("p9"), probe, all.now);
-    REQUIRE(answer.size() == 1); // nothing it says is taken in
+    REQUIRE(answer.size() == 1); // its records are not merged
     const auto* ack = std::get_if<send_ack>(&answer.front());
     REQUIRE(ack != nullptr);
     bool is_superseded = false;
@@ -251,11 +251,11 @@
     CHECK(all.converged());
 }
 
-TEST_CASE("membership - a process paused for a minute takes nobody for dead") {
+TEST_CASE("membership - a process paused for a minute declares nobody dead") {
     fleet all(2);
     all.start_all(8);
     all.run(seconds(10));
-    // Its last probes before the pause are lost, so it suspects somebody.
+    // Its last probes before the pause are lost, so it suspects a member.
     all.delivers = [](const std::string& from, const std::string&) {
         return from != "p6";
     };
@@ -268,7 +268,7 @@
     all.paused.clear();
     for (int ticks = 0; ticks < 8; ++ticks) {
         all.run(step);
-        CHECK(all.at("p6").members().size() == 8); // nobody is dead
+        CHECK(all.at("p6").members().size() == 8); // no member is dead
     }
     all.run(seconds(15));
     CHECK(all.converged());
@@ -283,7 +283,7 @@
     all.run(seconds(3));
     CHECK(all.count_available("p9") == 0);
     CHECK(all.count("p9", member_state::leaving) == 26);
-    // Silence while it drains does not bring it back.
+    // Unanswered probes while it drains do not make it available again.
     all.paused = {"p9"};
     all.run(seconds(2));
     CHECK(all.count_available("p9") == 0);
@@ -294,7 +294,7 @@
     CHECK(all.count_available("p9") == 0);
 }
 
-TEST_CASE("membership - leaving in the platform's list alone counts") {
+TEST_CASE("membership - a member listed as leaving gets no new work") {
     fleet all(3);
     all.start_all(26);
     all.run(seconds(10));
@@ -322,7 +322,7 @@
     CHECK(all.count_available("p9") == 12);
 }
 
-TEST_CASE("membership - a VM that the list lacks is judged by its peers") {
+TEST_CASE("membership - a VM missing from the list stays available") {
     fleet all(2);
     all.start_all(8);
     all.run(seconds(10));
@@ -331,7 +331,7 @@
     CHECK(all.converged());
 }
 
-TEST_CASE("membership - a suspected process contradicts") {
+TEST_CASE("membership - a process declared dead refutes it") {
     fleet all(2);
     all.start_all(8);
     all.run(seconds(10));
--- a/tests/vm_list.cpp
+++ b/tests/vm_list.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("vm_list - live and leaving VMs are told apart") {
+TEST_CASE("vm_list - live and leaving VMs are distinguished") {
     error failure;
     const auto list = parse(R"([{"vm":"vm-1","state":"live"},
                                 {"vm":"vm-2","state":"leaving"}])",
@@ -33,7 +33,7 @@
     }
 }
 
-TEST_CASE("vm_list - a list that cannot be reached is unavailable") {
+TEST_CASE("vm_list - an unreachable list is reported as unavailable") {
     error failure;
     const auto list = value_or_error(
         [] { return read_vm_list("http://127.0.0.1:1", milliseconds(200)); },
