--- a/tests/site_watch.cpp
+++ b/tests/site_watch.cpp
@@ -215,7 +215,7 @@
     store.put("servers/i-1", server_text(80));
     store.set_status(0);
     REQUIRE(running.until(
-        [&] { return in_force() == 3 && entry.servers.is_known(); },
+        [&] { return in_force() == 3 && entry.servers.has_list(); },
         seconds(2)));
     store.set_status(429);
     std::this_thread::sleep_for(milliseconds(600));
