--- a/include/ospreystage/app/admin_api.hpp
+++ b/include/ospreystage/app/admin_api.hpp
@@ -25,7 +25,8 @@
 /// nothing was written).
 class admin_api {
   public:
-    admin_api(const settings& values, kernel& core, configuration& register_);
+    admin_api(const settings& values, kernel& core,
+              configuration& rollout_configuration);
 
     /// Adds the routes to a server.
     void add_routes(api_server& server);
@@ -44,11 +45,12 @@
     [[nodiscard]] std::optional<rollout_document>
     read_key(const std::string& key) const;
     /// Returns the accepted revision `number`, nothing if it cannot be read.
-    [[nodiscard]] std::optional<rollout_document> base_of(revision number);
+    [[nodiscard]] std::optional<rollout_document> read_base(revision number);
     /// Compares the draft with its own base: what is in force here may be
     /// older. Returns the refusal, 403 or 503, if the change is not allowed.
     [[nodiscard]] std::optional<http_response>
-    objection(const operator_settings& by, const rollout_document& draft);
+    permission_error(const operator_settings& by,
+                     const rollout_document& draft);
 
     [[nodiscard]] http_response show();
     [[nodiscard]] http_response check(const api_request& request);
--- a/include/ospreystage/app/explain.hpp
+++ b/include/ospreystage/app/explain.hpp
@@ -9,9 +9,9 @@
 namespace ospreystage {
 
 /// Collects the log lines of one request over the logs of several processes.
-class request_life {
+class request_timeline {
   public:
-    explicit request_life(std::string id) : id_(std::move(id)) {}
+    explicit request_timeline(std::string id) : id_(std::move(id)) {}
 
     /// Takes the lines of one log; what stands before a line's JSON and lines
     /// that are no JSON are skipped.
@@ -22,13 +22,13 @@
     [[nodiscard]] std::vector<std::string> describe() const;
 
   private:
-    struct entry {
+    struct log_record {
         std::string time;
         std::string text;
     };
 
     std::string id_;
-    std::vector<entry> entries_;
+    std::vector<log_record> records_;
 };
 
 /// Prints the life of a request from log files.
--- a/include/ospreystage/app/process.hpp
+++ b/include/ospreystage/app/process.hpp
@@ -26,7 +26,7 @@
     [[nodiscard]] kernel& core() noexcept { return core_; }
     [[nodiscard]] links& link_layer() noexcept { return *links_; }
     [[nodiscard]] api_server& http() noexcept { return http_; }
-    [[nodiscard]] metrics& measures() noexcept { return metrics_; }
+    [[nodiscard]] metrics& process_metrics() noexcept { return metrics_; }
     [[nodiscard]] const process_id& self() const noexcept { return self_; }
 
     // ---- Life cycle --------------------------------------------------------
@@ -35,9 +35,9 @@
     /// once `idle` holds for a moment or the drain limit has passed.
     void on_stop(std::function<void()> drain, std::function<bool()> idle);
 
-    /// Calls `ended` after the kernel has stopped, on the thread of `run`:
+    /// Calls `callback` after the kernel has stopped, on the thread of `run`:
     /// nothing posted to the kernel is done any more.
-    void on_kernel_ended(std::function<void()> ended);
+    void on_kernel_stopped(std::function<void()> callback);
 
     /// Stops at once, as when a newer incarnation has replaced this process.
     void stop_now(const std::string& reason);
@@ -59,7 +59,7 @@
     api_server http_;
     std::function<void()> drain_;
     std::function<bool()> idle_;
-    std::function<void()> kernel_ended_;
+    std::function<void()> on_kernel_stopped_;
     bool draining_ = false;
     instant drain_started_{};
 };
--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -19,9 +19,9 @@
 using nlohmann::json;
 
 /// Bound on the wait for an acceptance; its own calls end earlier.
-constexpr seconds acceptance_wait{12};
+constexpr seconds acceptance_timeout{12};
 /// Revisions that the history lists.
-constexpr revision listed_revisions = 50;
+constexpr revision max_listed_revisions = 50;
 constexpr std::size_t max_operation_id_bytes = 128;
 
 json document_json(const rollout_document& document) {
@@ -103,8 +103,9 @@
 }
 
 /// Removes what belongs to the named organisations.
-rollout_document without(rollout_document document,
-                         const std::set<std::string>& organisations) {
+rollout_document
+without_organisations(rollout_document document,
+                      const std::set<std::string>& organisations) {
     std::erase_if(document.organisations, [&](const organisation& entry) {
         return organisations.contains(entry.name);
     });
@@ -115,7 +116,7 @@
     return document;
 }
 
-bool is_unlimited(const std::vector<std::string>& organisations) {
+bool allows_all_organisations(const std::vector<std::string>& organisations) {
     return std::find(organisations.begin(), organisations.end(), "*") !=
            organisations.end();
 }
@@ -128,16 +129,18 @@
 
 bool may_change(const std::vector<std::string>& organisations,
                 const rollout_document& before, const rollout_document& after) {
-    if (is_unlimited(organisations))
+    if (allows_all_organisations(organisations))
         return true;
     const std::set<std::string> names(organisations.begin(),
                                       organisations.end());
-    return diff(without(before, names), without(after, names)).empty();
+    return diff(without_organisations(before, names),
+                without_organisations(after, names))
+        .empty();
 }
 
 admin_api::admin_api(const settings& values, kernel& core,
-                     configuration& register_)
-    : values_(values), core_(core), configuration_(register_),
+                     configuration& rollout_configuration)
+    : values_(values), core_(core), configuration_(rollout_configuration),
       client_(values.platform.kv_url, values.platform.call_timeout) {}
 
 void admin_api::add_routes(api_server& server) {
@@ -209,7 +212,7 @@
                           ignored);
 }
 
-std::optional<rollout_document> admin_api::base_of(revision number) {
+std::optional<rollout_document> admin_api::read_base(revision number) {
     if (number == 0)
         return rollout_document{};
     const auto current = in_force();
@@ -285,11 +288,11 @@
 }
 
 std::optional<http_response>
-admin_api::objection(const operator_settings& by,
-                     const rollout_document& draft) {
-    if (is_unlimited(by.organisations))
+admin_api::permission_error(const operator_settings& by,
+                            const rollout_document& draft) {
+    if (allows_all_organisations(by.organisations))
         return std::nullopt;
-    const auto base = base_of(draft.based_on);
+    const auto base = read_base(draft.based_on);
     if (!base)
         return error_response(
             503, "the revision that the draft is based on cannot be read");
@@ -304,7 +307,7 @@
                                 const std::string& operation_id) {
     if (!is_operation_id(operation_id))
         return error_response(400, "operation_id is empty or too long");
-    if (auto refusal = objection(by, draft))
+    if (auto refusal = permission_error(by, draft))
         return *std::move(refusal);
     acceptance_request request;
     request.based_on = draft.based_on;
@@ -328,7 +331,7 @@
                               });
     });
     const bool done = result->done.WaitForNotificationWithTimeout(
-        absl::FromChrono(acceptance_wait));
+        absl::FromChrono(acceptance_timeout));
     const acceptance_result outcome =
         done ? result->value
              : acceptance_result(
@@ -374,7 +377,7 @@
     json out = json::array();
     const revision last = current ? current->number : 0;
     for (revision number = last; number > 0; --number) {
-        if (last - number >= listed_revisions)
+        if (last - number >= max_listed_revisions)
             break;
         const auto document =
             number == last ? std::optional(*current) : read_history(number);
--- a/src/app/agent_process.cpp
+++ b/src/app/agent_process.cpp
@@ -46,12 +46,12 @@
 
   private:
     [[nodiscard]] bool has_engine() const;
-    [[nodiscard]] std::vector<deployment> wanted() const;
+    [[nodiscard]] std::vector<deployment> requested_deployments() const;
     void apply_document();
-    void serve(const std::vector<digest>& held);
+    void publish_served_versions(const std::vector<digest>& held);
     [[nodiscard]] engine_target target(const engine_state& state) const;
-    void observe(const engine_state& state,
-                 std::vector<std::uint64_t> prefixes);
+    void handle_engine_report(const engine_state& state,
+                              std::vector<std::uint64_t> prefixes);
 
     process& self_;
     const settings& values_;
@@ -99,9 +99,9 @@
     needs.target = [this](const engine_state& state) { return target(state); };
     needs.observed = [this](const engine_state& state,
                             std::vector<std::uint64_t> prefixes) {
-        observe(state, std::move(prefixes));
+        handle_engine_report(state, std::move(prefixes));
     };
-    needs.unreachable = [this] { serve({}); };
+    needs.unreachable = [this] { publish_served_versions({}); };
     engine_ = &core.add(
         "engine", std::make_unique<engine_service>(
                       core, values, self.self().incarnation, std::move(needs)));
@@ -151,7 +151,7 @@
     return values_.backend_server.kind == "engine";
 }
 
-std::vector<deployment> agent::wanted() const {
+std::vector<deployment> agent::requested_deployments() const {
     std::vector<deployment> out;
     const auto document = configuration_.document();
     if (!document)
@@ -169,16 +169,16 @@
 
 void agent::apply_document() {
     if (!has_engine()) {
-        serve({});
+        publish_served_versions({});
         return;
     }
     std::vector<requested_version> versions;
-    for (const deployment& entry : wanted())
+    for (const deployment& entry : requested_deployments())
         versions.push_back({entry.version, entry.priority});
     distribution_->request_versions(versions);
 }
 
-void agent::serve(const std::vector<digest>& held) {
+void agent::publish_served_versions(const std::vector<digest>& held) {
     scheduled_service served;
     served.engine = has_engine();
     served.versions = held;
@@ -200,7 +200,7 @@
         if (attempts_.is_version_in_use(version))
             out.in_use.insert(version);
     }
-    for (const deployment& entry : wanted()) {
+    for (const deployment& entry : requested_deployments()) {
         out.requested.push_back(entry.version);
         if (distribution_->complete(entry.version))
             out.complete.insert(entry.version);
@@ -208,11 +208,11 @@
     return out;
 }
 
-void agent::observe(const engine_state& state,
-                    std::vector<std::uint64_t> prefixes) {
+void agent::handle_engine_report(const engine_state& state,
+                                 std::vector<std::uint64_t> prefixes) {
     std::vector<digest> offered;
     bool all_held = true;
-    for (const deployment& entry : wanted()) {
+    for (const deployment& entry : requested_deployments()) {
         if (state.held.contains(entry.version))
             offered.push_back(entry.version);
         else
@@ -221,7 +221,7 @@
     // Superseded versions answer until this engine holds what replaces them.
     if (!all_held)
         offered.assign(state.held.begin(), state.held.end());
-    serve(offered);
+    publish_served_versions(offered);
     back_end_load load;
     load.running = state.running;
     load.queued = state.queued;
--- a/src/app/ctl.cpp
+++ b/src/app/ctl.cpp
@@ -91,7 +91,7 @@
 }
 
 /// Returns the operation to use, and tells the operator its id up front.
-std::string operation_of(const ctl_options& options) {
+std::string choose_operation_id(const ctl_options& options) {
     std::string id = options.operation_id.empty() ? new_operation_id()
                                                   : options.operation_id;
     std::cerr << "operation " << id << '\n';
@@ -123,9 +123,9 @@
     const auto document = read_document(options.file);
     if (!document)
         return exit_code::usage;
-    return print(post(
-        options, base,
-        {{"operation_id", operation_of(options)}, {"document", *document}}));
+    return print(post(options, base,
+                      {{"operation_id", choose_operation_id(options)},
+                       {"document", *document}}));
 }
 
 exit_code ctl_operation(const ctl_options& options) {
@@ -150,9 +150,9 @@
 }
 
 exit_code ctl_rollback(const ctl_options& options) {
-    return print(post(
-        options, fmt::format("{}/rollback", base),
-        {{"operation_id", operation_of(options)}, {"to", options.number}}));
+    return print(post(options, fmt::format("{}/rollback", base),
+                      {{"operation_id", choose_operation_id(options)},
+                       {"to", options.number}}));
 }
 
 exit_code ctl_dump(const ctl_options& options) {
--- a/src/app/entry_process.cpp
+++ b/src/app/entry_process.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-caller_api::dependencies caller_needs(kernel& core) {
+caller_api::dependencies caller_dependencies(kernel& core) {
     caller_api::dependencies needs;
     needs.entries = [&core] {
         return entry_urls(core.find<membership_service>("membership"));
@@ -90,15 +90,15 @@
 exit_code run_entry(const settings& values) {
     process self(values);
     kernel& core = self.core();
-    caller_api callers(core, values, self.http(), self.measures(),
-                       caller_needs(core));
+    caller_api callers(core, values, self.http(), self.process_metrics(),
+                       caller_dependencies(core));
     add_services(self, values,
                  [&callers](request_id id, const exchange_event& event) {
                      callers.deliver(id, event);
                  });
     admin_api admin(values, core, core.find<configuration>("configuration"));
     admin.add_routes(self.http());
-    self.measures().gauge("ospreystage_requests_open", [&callers] {
+    self.process_metrics().gauge("ospreystage_requests_open", [&callers] {
         return static_cast<double>(callers.size());
     });
     self.on_stop(
@@ -110,7 +110,7 @@
             return callers.size() == 0 &&
                    core.find<request_service>("requests").idle();
         });
-    self.on_kernel_ended([&callers] { callers.abandon_all(); });
+    self.on_kernel_stopped([&callers] { callers.abandon_all(); });
     return self.run();
 }
 
--- a/src/app/explain.cpp
+++ b/src/app/explain.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Fields that begin a line, or that every line of a request has.
-bool is_leading(const std::string& name) {
+bool is_common_field(const std::string& name) {
     return name == "time" || name == "process" || name == "event" ||
            name == "level" || name == "request";
 }
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void request_life::read(std::istream& log) {
+void request_timeline::read(std::istream& log) {
     for (std::string row; std::getline(log, row);) {
         const std::size_t start = row.find('{');
         if (start == std::string::npos || row.find(id_) == std::string::npos)
@@ -38,38 +38,38 @@
             fmt::format("{} {} {}", text_of(line, "time"),
                         text_of(line, "process"), text_of(line, "event"));
         for (const auto& [name, value] : line.items())
-            if (!is_leading(name))
+            if (!is_common_field(name))
                 text += fmt::format(" {}={}", name, value.dump());
-        entries_.push_back({text_of(line, "time"), std::move(text)});
+        records_.push_back({text_of(line, "time"), std::move(text)});
     }
 }
 
-std::vector<std::string> request_life::describe() const {
-    std::vector<entry> sorted = entries_;
+std::vector<std::string> request_timeline::describe() const {
+    std::vector<log_record> sorted = records_;
     // Stable: lines of one time stay in the order of their log.
     std::stable_sort(sorted.begin(), sorted.end(),
-                     [](const entry& left, const entry& right) {
+                     [](const log_record& left, const log_record& right) {
                          return left.time < right.time;
                      });
     std::vector<std::string> out;
     out.reserve(sorted.size());
-    for (entry& each : sorted)
+    for (log_record& each : sorted)
         out.push_back(std::move(each.text));
     return out;
 }
 
 exit_code explain(const std::string& id,
                   const std::vector<std::string>& files) {
-    request_life life(id);
+    request_timeline timeline(id);
     for (const std::string& file : files) {
         std::ifstream log(file);
         if (!log) {
             std::cerr << file << ": cannot be read\n";
             return exit_code::usage;
         }
-        life.read(log);
+        timeline.read(log);
     }
-    const auto lines = life.describe();
+    const auto lines = timeline.describe();
     for (const std::string& line : lines)
         std::cout << line << '\n';
     if (!lines.empty())
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// Time for which an address may still be in callers' caches while it drains.
-constexpr seconds least_drain{3};
+constexpr seconds min_drain_time{3};
 /// A drain that lasts longer is broken off.
-constexpr std::chrono::minutes most_drain{10};
+constexpr std::chrono::minutes max_drain_time{10};
 constexpr milliseconds drain_check_interval{50};
 
 } // namespace
@@ -39,8 +39,8 @@
     idle_ = std::move(idle);
 }
 
-void process::on_kernel_ended(std::function<void()> ended) {
-    kernel_ended_ = std::move(ended);
+void process::on_kernel_stopped(std::function<void()> callback) {
+    on_kernel_stopped_ = std::move(callback);
 }
 
 void process::stop_now(const std::string& reason) {
@@ -66,8 +66,8 @@
                {"peer", to_string(configuration_.listen.peer)}});
     print_line("ready");
     core_.run();
-    if (kernel_ended_)
-        kernel_ended_();
+    if (on_kernel_stopped_)
+        on_kernel_stopped_();
     log_event(log_level::info, "stopped");
     finish_logging();
     return exit_code::success;
@@ -114,11 +114,11 @@
 void process::check_drained() {
     const auto spent = steady::now() - drain_started_;
     const bool idle = http_.web().exchanges() == 0 && (!idle_ || idle_());
-    if (spent >= most_drain) {
+    if (spent >= max_drain_time) {
         core_.stop();
         return;
     }
-    if (spent < least_drain || !idle)
+    if (spent < min_drain_time || !idle)
         return;
     // Requests that arrive until the next check are still answered.
     if (http_.web().is_listening())
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,8 +21,8 @@
     "settings; 3 outcome not yet known; 4 the entry did not answer.";
 
 /// Loads settings for `role`; prints the fault and returns nothing otherwise.
-std::optional<settings> settings_for(const std::string& file,
-                                     process_role role) {
+std::optional<settings> load_settings_for(const std::string& file,
+                                          process_role role) {
     error failure;
     auto value = value_or_error([&] { return load_settings(file); }, failure);
     if (!value) {
@@ -44,7 +44,7 @@
     sub->add_option("--settings", *file, "Settings file (TOML)")->required();
     sub->callback([file, role, run, &chosen] {
         chosen = [file, role, run] {
-            const auto configuration = settings_for(*file, role);
+            const auto configuration = load_settings_for(*file, role);
             return configuration ? run(*configuration) : exit_code::usage;
         };
     });
@@ -99,9 +99,10 @@
 }
 
 /// Adds one `ctl` subcommand that runs `run` on the shared options.
-CLI::App* add_call(CLI::App& parent, const char* name, const char* description,
-                   exit_code (*run)(const ctl_options&), ctl_options& options,
-                   command& chosen) {
+CLI::App* add_ctl_command(CLI::App& parent, const char* name,
+                          const char* description,
+                          exit_code (*run)(const ctl_options&),
+                          ctl_options& options, command& chosen) {
     CLI::App* sub = parent.add_subcommand(name, description);
     sub->callback([run, &options, &chosen] {
         chosen = [run, &options] { return run(options); };
@@ -115,7 +116,8 @@
     rollout->require_subcommand(1);
     const auto add = [&](const char* name, const char* description,
                          exit_code (*run)(const ctl_options&)) {
-        return add_call(*rollout, name, description, run, options, chosen);
+        return add_ctl_command(*rollout, name, description, run, options,
+                               chosen);
     };
     const auto needs_file = [&](CLI::App* sub) {
         sub->add_option("file", options.file, "Rollout document (JSON)")
@@ -155,8 +157,8 @@
     ctl->add_option("--token", options.token, "Operator's token")
         ->envname("OSPREYSTAGE_TOKEN");
     add_rollout(*ctl, options, chosen);
-    add_call(*ctl, "dump", "Print a process's state", ctl_dump, options,
-             chosen);
+    add_ctl_command(*ctl, "dump", "Print a process's state", ctl_dump, options,
+                    chosen);
 }
 
 } // namespace
--- a/tests/explain.cpp
+++ b/tests/explain.cpp
@@ -17,10 +17,10 @@
         "  12.5 edge-2 "
         R"({"time":"T3","process":"e2","event":"request_sent","request":"r1","server":"i-2"})"
         "\n");
-    request_life life("r1");
-    life.read(first);
-    life.read(second);
-    CHECK(life.describe() ==
+    request_timeline timeline("r1");
+    timeline.read(first);
+    timeline.read(second);
+    CHECK(timeline.describe() ==
           std::vector<std::string>{R"(T1 e1 request_sent server="i-1")",
                                    R"(T2 e1 attempt_failed reason="cut")",
                                    R"(T3 e2 request_sent server="i-2")"});
@@ -28,7 +28,7 @@
 
 TEST_CASE("explain - a request that no log names has no lines") {
     std::istringstream log("{\"event\":\"started\"}\n");
-    request_life life("r1");
-    life.read(log);
-    CHECK(life.describe().empty());
+    request_timeline timeline("r1");
+    timeline.read(log);
+    CHECK(timeline.describe().empty());
 }
--- a/tests/harness.cpp
+++ b/tests/harness.cpp
@@ -210,12 +210,12 @@
     const std::string refusal =
         R"({"error":{"outcome":"not-run","reason":"overloaded",)"
         R"("retry_after_ms":250}})";
-    call_outcome whole;
-    answer_reader whole_reader(false, steady::now());
-    whole_reader.receive(refusal, steady::now());
-    CHECK(whole_reader.finish(429, true, whole) == call_result::not_run);
-    CHECK(whole.reason == "overloaded");
-    CHECK(whole.retry_after == milliseconds(250));
+    call_outcome unary;
+    answer_reader unary_reader(false, steady::now());
+    unary_reader.receive(refusal, steady::now());
+    CHECK(unary_reader.finish(429, true, unary) == call_result::not_run);
+    CHECK(unary.reason == "overloaded");
+    CHECK(unary.retry_after == milliseconds(250));
 
     call_outcome streamed;
     answer_reader stream_reader(true, steady::now());
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -249,7 +249,7 @@
 
 bool fleet::launch(const std::string& name) {
     const std::string log_file = options_.run_folder + "/" + name + "." +
-                                 std::to_string(++starts_[name]) + ".log";
+                                 std::to_string(++start_counts_[name]) + ".log";
     error failure;
     auto started = value_or_error(
         [&] { return child_process::start(commands_.at(name), log_file); },
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -114,7 +114,8 @@
     std::map<std::string, std::vector<std::string>> commands_;
     std::map<std::string, std::string> urls_;
     std::map<std::string, child_process> processes_;
-    std::map<std::string, int> starts_; ///< Starts of each process so far.
+    std::map<std::string, int>
+        start_counts_; ///< Starts of each process so far.
     std::vector<std::string> standins_;
     std::string problem_;
 };
--- a/tests/system_control.cpp
+++ b/tests/system_control.cpp
@@ -21,17 +21,21 @@
 constexpr seconds settle_limit{10};
 constexpr seconds child_limit{10};
 constexpr int leaving_calls = 40;
-constexpr std::size_t open_calls = 6; ///< In progress while a VM leaves.
+constexpr std::size_t calls_in_progress = 6; ///< In progress while a VM leaves.
 
-const operator_settings everything{"operator-1", "operator-token-1", {"*"}};
-const operator_settings colleague{"operator-2", "operator-token-2", {"*"}};
-const operator_settings limited{"operator-3", "operator-token-3", {"branch-1"}};
+const operator_settings unrestricted_operator{
+    "operator-1", "operator-token-1", {"*"}};
+const operator_settings second_unrestricted_operator{
+    "operator-2", "operator-token-2", {"*"}};
+const operator_settings restricted_operator{
+    "operator-3", "operator-token-3", {"branch-1"}};
 
 fleet_options small_options() {
     fleet_options options;
     options.plain_agents = 2;
     options.agents = 0;
-    options.operators = {everything, colleague, limited};
+    options.operators = {unrestricted_operator, second_unrestricted_operator,
+                         restricted_operator};
     return options;
 }
 
@@ -71,7 +75,7 @@
 http_answer submit(const fleet& system, const std::string& entry,
                    const rollout_document& document,
                    const std::string& operation_id,
-                   const operator_settings& by = everything) {
+                   const operator_settings& by = unrestricted_operator) {
     return post_json(system.url(entry), "/admin/v1/rollout",
                      submission(document, operation_id), token_of(by),
                      seconds(15));
@@ -79,7 +83,7 @@
 
 http_answer admin_get(const fleet& system, const std::string& entry,
                       const std::string& path) {
-    return get_json(system.url(entry), path, token_of(everything));
+    return get_json(system.url(entry), path, token_of(unrestricted_operator));
 }
 
 /// A fleet with revision 1 in force on every process, and a monitor.
@@ -127,11 +131,14 @@
 }
 
 run_result run_ctl(const fleet& system, std::vector<std::string> arguments) {
-    std::vector<std::string> whole = {
-        "ctl",     "--entry",        system.url("entry-2"),
-        "--token", everything.token, "rollout"};
-    whole.insert(whole.end(), arguments.begin(), arguments.end());
-    return run_product(std::move(whole));
+    std::vector<std::string> command_line = {"ctl",
+                                             "--entry",
+                                             system.url("entry-2"),
+                                             "--token",
+                                             unrestricted_operator.token,
+                                             "rollout"};
+    command_line.insert(command_line.end(), arguments.begin(), arguments.end());
+    return run_product(std::move(command_line));
 }
 
 std::string write_document(const fleet& system, const std::string& name,
@@ -247,10 +254,11 @@
     organisation_of(drafts[1], "branch-1").weight = 9;
     http_answer answers[2];
     std::thread other([&] {
-        answers[1] =
-            submit(system, "entry-2", drafts[1], "by-colleague", colleague);
+        answers[1] = submit(system, "entry-2", drafts[1], "by-colleague",
+                            second_unrestricted_operator);
     });
-    answers[0] = submit(system, "entry-1", drafts[0], "by-first", everything);
+    answers[0] =
+        submit(system, "entry-1", drafts[0], "by-first", unrestricted_operator);
     other.join();
     const bool first_won = answers[0].status == 200;
     const http_answer& won = answers[first_won ? 0 : 1];
@@ -261,7 +269,9 @@
     REQUIRE(lost.body["clashes"].size() == 1);
     const auto& clash = lost.body["clashes"][0];
     CHECK(clash["field"] == "/organisations/branch-1/weight");
-    CHECK(clash["changed_by"] == (first_won ? everything : colleague).name);
+    CHECK(clash["changed_by"] ==
+          (first_won ? unrestricted_operator : second_unrestricted_operator)
+              .name);
     CHECK(clash["changed_in"] == 2);
     CHECK(clash["theirs"] == (first_won ? "7" : "9"));
 }
@@ -320,8 +330,8 @@
     // A request in progress keeps the process from ending at once.
     REQUIRE(system.set_faults("backend-vm-2", {{"stall", true}}));
     std::vector<std::thread> open;
-    open.reserve(open_calls);
-    for (std::size_t index = 0; index < open_calls; ++index)
+    open.reserve(calls_in_progress);
+    for (std::size_t index = 0; index < calls_in_progress; ++index)
         open.emplace_back([&] { std::ignore = serve_calls(system, 1); });
     std::this_thread::sleep_for(milliseconds(300));
     if (mark != "signal")
@@ -397,16 +407,16 @@
     rollout_document draft = rollout_of(system, {second.version});
     draft.based_on = 1;
     REQUIRE(submit(system, "entry-1", draft, "2").status == 200);
-    const nlohmann::json wanted = {second.version};
+    const nlohmann::json requested = {second.version};
     INFO(newer.log_text());
-    CHECK(await_held(system, "vm-1", wanted, settle_limit));
+    CHECK(await_held(system, "vm-1", requested, settle_limit));
 
     system.thaw("vm-1");
     const auto status = system.process("vm-1").wait(child_limit);
     CHECK(status.has_value());
-    CHECK(await_held(system, "vm-1", wanted, settle_limit));
+    CHECK(await_held(system, "vm-1", requested, settle_limit));
     std::this_thread::sleep_for(seconds(1));
-    CHECK(held_by(system, "vm-1") == wanted);
+    CHECK(held_by(system, "vm-1") == requested);
     CHECK(newer.running());
 }
 
@@ -478,7 +488,7 @@
         draft[section] = current[section];
     draft["organisations"][0]["weight"] = 8;
     const std::string path = "/admin/v1/rollout";
-    const http_headers token = token_of(everything);
+    const http_headers token = token_of(unrestricted_operator);
     CHECK(post_json(system.url("entry-1"), path + "/validate", draft, token)
               .body["valid"] == true);
     const auto changes =
@@ -500,12 +510,14 @@
     CHECK(submit(system, "entry-1", draft, "a", nobody).status == 401);
     CHECK(get_json(system.url("entry-1"), "/admin/v1/rollout").status == 401);
     CHECK(get_json(system.url("vm-1"), "/admin/v1/dump").status == 401);
-    const http_answer refused = submit(system, "entry-1", draft, "b", limited);
+    const http_answer refused =
+        submit(system, "entry-1", draft, "b", restricted_operator);
     CHECK(refused.status == 403);
     CHECK_FALSE(refused.body.value("error", "").empty());
     draft = running.document;
     organisation_of(draft, "branch-1").weight = 6;
-    CHECK(submit(system, "entry-1", draft, "c", limited).status == 200);
+    CHECK(submit(system, "entry-1", draft, "c", restricted_operator).status ==
+          200);
 }
 
 TEST_CASE("system - a lagging entry lets nobody undo what others changed") {
@@ -520,8 +532,10 @@
     undoing.based_on = 2;
     organisation_of(undoing, "branch-1").weight = 6;
     http_answer answer;
-    std::thread client(
-        [&] { answer = submit(system, "entry-1", undoing, "third", limited); });
+    std::thread client([&] {
+        answer =
+            submit(system, "entry-1", undoing, "third", restricted_operator);
+    });
     std::this_thread::sleep_for(milliseconds(300));
     system.thaw("entry-1");
     client.join();
@@ -534,7 +548,7 @@
 TEST_CASE("system - malformed and oversized bodies get a clear error") {
     running_fleet running(small_options());
     fleet& system = running.system;
-    const http_headers token = token_of(everything);
+    const http_headers token = token_of(unrestricted_operator);
     const auto post = [&](const nlohmann::json& body) {
         return post_json(system.url("entry-1"), "/admin/v1/rollout", body,
                          token);
--- a/tests/system_requests.cpp
+++ b/tests/system_requests.cpp
@@ -39,7 +39,7 @@
     return call;
 }
 
-plain_call sanction(const std::string& key) {
+plain_call non_idempotent_call(const std::string& key) {
     plain_call call;
     call.service = plain_service_name;
     call.path = "sanctions";
@@ -105,7 +105,7 @@
     return agent == "vm-1" ? "vm-2" : "vm-1";
 }
 
-bool is_honest(const call_outcome& outcome, std::uint64_t runs) {
+bool outcome_matches_runs(const call_outcome& outcome, std::uint64_t runs) {
     switch (outcome.result) {
     case call_result::served:
         return runs == 1;
@@ -182,7 +182,7 @@
     INFO(second.reason);
     const auto runs = runs_of(system, "head-office", "restart");
     CHECK(runs == 1);
-    CHECK(is_honest(second, runs));
+    CHECK(outcome_matches_runs(second, runs));
 }
 
 TEST_CASE("system - a stream goes on elsewhere after its agent is killed") {
@@ -243,7 +243,7 @@
             runs_of(system, "head-office", fmt::format("paused-{}", number));
         INFO(to_string(outcome.result)
              << " " << outcome.reason << " runs " << runs);
-        CHECK(is_honest(outcome, runs));
+        CHECK(outcome_matches_runs(outcome, runs));
     }
 }
 
@@ -308,17 +308,17 @@
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     caller& client = running.client();
-    plain_call unkeyed = sanction("");
+    plain_call unkeyed = non_idempotent_call("");
     const call_outcome refused =
         client.plain_at(system.url("entry-1"), unkeyed);
     CHECK(refused.result == call_result::not_run);
     CHECK(refused.reason == "idempotency_key_missing");
     const call_outcome first =
-        client.plain_at(system.url("entry-1"), sanction("once"));
+        client.plain_at(system.url("entry-1"), non_idempotent_call("once"));
     INFO(first.reason);
     CHECK(first.result == call_result::served);
     const call_outcome repeat =
-        client.plain_at(system.url("entry-2"), sanction("once"));
+        client.plain_at(system.url("entry-2"), non_idempotent_call("once"));
     CHECK(repeat.result != call_result::not_run);
     CHECK(runs_of(system, "head-office", "once") == 1);
 }
