--- a/include/ospreystage/app/admin_api.hpp
+++ b/include/ospreystage/app/admin_api.hpp
@@ -11,24 +11,25 @@
 
 namespace ospreystage {
 
-/// Returns true if `after` differs from `before` only in the entries and
-/// traffic rules of `organisations`; `*` allows every difference.
+/// Returns true if `after` differs from `before` only in the definitions and
+/// traffic rules of `organisations`; `*` permits every difference.
 [[nodiscard]] bool may_change(const std::vector<std::string>& organisations,
                               const rollout_document& before,
                               const rollout_document& after);
 
-/// Operators' interface: HTTP with JSON under `/admin/v1`, and the console.
+/// Operators' HTTP API (JSON under `/admin/v1`) and the web console.
 ///
-/// Every call needs an operator's token. Acceptance answers 200 (accepted),
-/// 202 (not yet known; ask again by id), 409 (another edit was accepted), 422
-/// (invalid), or 503 (rejected: the platform's service was not available and
-/// nothing was written).
+/// Every API call requires an operator's token. A submission is answered with
+/// 200 (accepted), 202 (outcome not yet known; query it by operation id), 409
+/// (another edit was accepted first), 422 (invalid), 500 (the stored document
+/// is damaged), or 503 (rejected: the platform's service was unavailable and
+/// this call wrote nothing).
 class admin_api {
   public:
     admin_api(const settings& values, kernel& core,
               configuration& rollout_configuration);
 
-    /// Adds the routes to a server.
+    /// Registers the API's routes and the console page on `server`.
     void add_routes(api_server& server);
 
   private:
@@ -44,10 +45,14 @@
     read_history(revision number) const;
     [[nodiscard]] std::optional<rollout_document>
     read_key(const std::string& key) const;
-    /// Returns the accepted revision `number`, nothing if it cannot be read.
+    /// Returns the accepted revision `number`, or nothing if it cannot be
+    /// read. Revision 0 is the empty document.
     [[nodiscard]] std::optional<rollout_document> read_base(revision number);
-    /// Compares the draft with its own base: what is in force here may be
-    /// older. Returns the refusal, 403 or 503, if the change is not allowed.
+    /// Returns an error response if the operator may not submit the draft: 403
+    /// if the change is not permitted, 503 if the base cannot be read.
+    ///
+    /// The draft is compared with the revision that it is based on, because
+    /// the document in force on this entry may be older.
     [[nodiscard]] std::optional<http_response>
     permission_error(const operator_settings& by,
                      const rollout_document& draft);
--- a/include/ospreystage/app/console_page.hpp
+++ b/include/ospreystage/app/console_page.hpp
@@ -4,11 +4,11 @@
 
 namespace ospreystage {
 
-/// Returns the operators' console: one HTML page of forms.
+/// Returns the operators' console, a single HTML page.
 ///
-/// The page reads the document in force from `/admin/v1/rollout`, builds the
-/// draft from its forms, and shows the draft, its difference to the document
-/// in force and what blocks its acceptance. What it submits is the draft.
+/// The page loads the document in force from `/admin/v1/rollout`, builds a
+/// draft from its forms, shows the draft with its validation problems and its
+/// differences from the document in force, and submits the draft.
 [[nodiscard]] std::string_view console_page() noexcept;
 
 } // namespace ospreystage
--- a/include/ospreystage/app/explain.hpp
+++ b/include/ospreystage/app/explain.hpp
@@ -8,17 +8,17 @@
 
 namespace ospreystage {
 
-/// Collects the log lines of one request over the logs of several processes.
+/// Collects the log lines of one request from the logs of several processes.
 class request_timeline {
   public:
     explicit request_timeline(std::string id) : id_(std::move(id)) {}
 
-    /// Takes the lines of one log; what stands before a line's JSON and lines
-    /// that are no JSON are skipped.
+    /// Reads one log. Ignores any text that precedes the JSON object on a line
+    /// and skips lines without a JSON object.
     void read(std::istream& log);
 
-    /// Returns what happened, in the order of the lines' times, one text a
-    /// line: time, process, event and the fields that decided.
+    /// Returns one text per log line, sorted by time: time, process, event and
+    /// the event's other fields.
     [[nodiscard]] std::vector<std::string> describe() const;
 
   private:
@@ -31,7 +31,8 @@
     std::vector<log_record> records_;
 };
 
-/// Prints the life of a request from log files.
+/// Prints the events of a request from log files, sorted by time. Returns
+/// `usage` if a file cannot be read and `refused` if no line was found.
 [[nodiscard]] exit_code explain(const std::string& id,
                                 const std::vector<std::string>& files);
 
--- a/include/ospreystage/app/process.hpp
+++ b/include/ospreystage/app/process.hpp
@@ -12,9 +12,9 @@
 
 namespace ospreystage {
 
-/// What entry and agent have in common: kernel, links, HTTP, signals.
+/// Kernel, links, HTTP server and signal handling shared by entry and agent.
 ///
-/// Construct it before any other thread starts, see `signal_watch`.
+/// Must be constructed before any other thread starts; see `signal_watch`.
 class process {
   public:
     explicit process(const settings& configuration);
@@ -31,18 +31,21 @@
 
     // ---- Life cycle --------------------------------------------------------
 
-    /// Calls `drain` on the kernel thread at SIGTERM or SIGINT, then stops
-    /// once `idle` holds for a moment or the drain limit has passed.
+    /// Sets the handlers for SIGTERM and SIGINT. `drain` is called on the
+    /// kernel thread; the process stops once `idle` holds at two checks after
+    /// the minimum drain time, or when the maximum drain time has passed.
     void on_stop(std::function<void()> drain, std::function<bool()> idle);
 
-    /// Calls `callback` after the kernel has stopped, on the thread of `run`:
-    /// nothing posted to the kernel is done any more.
+    /// Sets a callback for the thread of `run`, called after the kernel has
+    /// stopped, when tasks posted to the kernel no longer run.
     void on_kernel_stopped(std::function<void()> callback);
 
-    /// Stops at once, as when a newer incarnation has replaced this process.
+    /// Stops without draining, for example when a newer incarnation has
+    /// replaced this process.
     void stop_now(const std::string& reason);
 
-    /// Listens, prints `ready` and runs until the process is stopped.
+    /// Starts listening, prints `ready` and runs until the process is stopped.
+    /// Returns `usage` if an address cannot be bound.
     [[nodiscard]] exit_code run();
 
   private:
@@ -53,7 +56,7 @@
     const settings& configuration_;
     process_id self_;
     kernel core_;
-    signal_watch signals_; ///< Before `http_`, which starts threads.
+    signal_watch signals_; ///< Must precede `http_`, which starts threads.
     links* links_ = nullptr;
     metrics metrics_;
     api_server http_;
--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -18,9 +18,9 @@
 
 using nlohmann::json;
 
-/// Bound on the wait for an acceptance; its own calls end earlier.
+/// Time limit for an acceptance; the calls that it makes time out earlier.
 constexpr seconds acceptance_timeout{12};
-/// Revisions that the history lists.
+/// Largest number of revisions in one history response.
 constexpr revision max_listed_revisions = 50;
 constexpr std::size_t max_operation_id_bytes = 128;
 
@@ -93,7 +93,7 @@
                           {"clashes", clashes_json(refusal.clashes)}});
 }
 
-/// Answers a document that is malformed.
+/// Returns the 422 response for a document that cannot be parsed.
 http_response malformed_response(const error& failure) {
     return json_response(422,
                          {{"result", "rejected"},
@@ -102,7 +102,8 @@
                           {"problems", problems_json({{"", failure.detail}})}});
 }
 
-/// Removes what belongs to the named organisations.
+/// Returns `document` without the definitions and traffic rules of the named
+/// organisations.
 rollout_document
 without_organisations(rollout_document document,
                       const std::set<std::string>& organisations) {
@@ -218,7 +219,8 @@
     const auto current = in_force();
     if (current && current->number == number)
         return *current;
-    // The current document is copied to the history before it is replaced.
+    // The newest revision may not be in the history yet: the current document
+    // is copied there before it is replaced.
     auto newest = read_key(current_rollout_key);
     if (newest && newest->number == number)
         return newest;
@@ -228,7 +230,7 @@
 http_response admin_api::show() {
     const auto document = in_force();
     if (!document)
-        return error_response(404, "nothing is in force");
+        return error_response(404, "no rollout document is in force");
     return json_response(200, document_json(*document));
 }
 
@@ -261,7 +263,8 @@
     const json body = json::parse(request.message.body, nullptr, false);
     if (!body.is_object() || !body.contains("document") ||
         !body.contains("operation_id") || !body["operation_id"].is_string())
-        return error_response(400, "expected operation_id and document");
+        return error_response(
+            400, "expected an object with operation_id (string) and document");
     error failure;
     auto draft = value_or_error(
         [&] { return parse_rollout(body["document"].dump()); }, failure);
@@ -277,11 +280,13 @@
     if (!body.is_object() || !body.contains("to") ||
         !body["to"].is_number_unsigned() || !body.contains("operation_id") ||
         !body["operation_id"].is_string())
-        return error_response(400, "expected operation_id and to");
+        return error_response(
+            400,
+            "expected an object with operation_id (string) and to (revision)");
     const auto current = in_force();
     auto earlier = read_history(body["to"].get<revision>());
     if (!earlier || !current)
-        return error_response(404, "no such revision can be read");
+        return error_response(404, "revision not found or unreadable");
     earlier->based_on = current->number;
     return submit(by, std::move(*earlier),
                   body["operation_id"].get<std::string>());
@@ -294,12 +299,11 @@
         return std::nullopt;
     const auto base = read_base(draft.based_on);
     if (!base)
-        return error_response(
-            503, "the revision that the draft is based on cannot be read");
+        return error_response(503, "the draft's base revision cannot be read");
     if (may_change(by.organisations, *base, draft))
         return std::nullopt;
-    return error_response(403,
-                          "the token allows changes of its organisations only");
+    return error_response(
+        403, "the token permits changes to its own organisations only");
 }
 
 http_response admin_api::submit(const operator_settings& by,
@@ -322,7 +326,7 @@
         acceptance_result value;
     };
     const auto result = std::make_shared<shared_result>();
-    result->value = not_yet_known{operation_id, "still being tried"};
+    result->value = not_yet_known{operation_id, "acceptance still in progress"};
     core_.post("admin", [this, request, result] {
         configuration_.accept(request,
                               [result](const acceptance_result& value) {
@@ -335,7 +339,7 @@
     const acceptance_result outcome =
         done ? result->value
              : acceptance_result(
-                   not_yet_known{operation_id, "still being tried"});
+                   not_yet_known{operation_id, "acceptance still in progress"});
     log_event(log_level::info, "acceptance",
               {{"operator", by.name},
                {"operation", operation_id},
@@ -352,7 +356,7 @@
                            return digit >= '0' && digit <= '9';
                        });
     if (!valid)
-        return error_response(400, "expected based_on");
+        return error_response(400, "based_on must be a revision number");
     const revision based_on = std::stoull(base);
     const acceptance_result result =
         run(acceptance::resolve(id, based_on), client_);
@@ -395,7 +399,7 @@
 http_response admin_api::show_revision(const api_request& request) {
     const auto document = read_history(std::stoull(request.captures[0]));
     if (!document)
-        return error_response(404, "no such revision can be read");
+        return error_response(404, "revision not found or unreadable");
     return json_response(200, document_json(*document));
 }
 
--- a/src/app/agent_process.cpp
+++ b/src/app/agent_process.cpp
@@ -23,7 +23,7 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-/// Answers with what `read` returns, or 404 with its error.
+/// Returns the bytes from `read` as a response, or 404 with the error.
 template <typename Read>
 http_response bytes_response(const char* content_type, Read read) {
     error failure;
@@ -33,7 +33,8 @@
     return json_response(404, {{"error", to_string(failure)}});
 }
 
-/// Connects the services of one agent: what the document asks of this VM.
+/// Creates the services of one agent and applies the rollout document's
+/// requirements for this VM to them.
 class agent {
   public:
     agent(process& self, const settings& values);
@@ -218,7 +219,8 @@
         else
             all_held = false;
     }
-    // Superseded versions answer until this engine holds what replaces them.
+    // Continue to offer superseded versions until the engine holds every
+    // requested version.
     if (!all_held)
         offered.assign(state.held.begin(), state.held.end());
     publish_served_versions(offered);
@@ -231,7 +233,8 @@
     attempts_.set_load(std::move(load));
 }
 
-/// Makes the folder for chunks; prints the fault and returns false otherwise.
+/// Creates the chunk folder if one is configured; prints the error and returns
+/// false on failure.
 bool make_chunk_folder(const std::string& folder) {
     std::error_code problem;
     if (!folder.empty())
--- a/src/app/ctl.cpp
+++ b/src/app/ctl.cpp
@@ -18,7 +18,7 @@
 constexpr seconds call_timeout{15};
 constexpr const char* base = "/admin/v1/rollout";
 
-/// Answer of an entry; `status` 0 means that there was none.
+/// HTTP response of an entry; `status` is 0 if there was none.
 struct reply {
     int status = 0;
     nlohmann::json body;
@@ -90,7 +90,8 @@
     return fmt::format("ctl-{}", new_incarnation());
 }
 
-/// Returns the operation to use, and tells the operator its id up front.
+/// Returns the operation id, given or generated, and prints it before the call
+/// so that the operator can query the outcome if the response is lost.
 std::string choose_operation_id(const ctl_options& options) {
     std::string id = options.operation_id.empty() ? new_operation_id()
                                                   : options.operation_id;
--- a/src/app/entry_process.cpp
+++ b/src/app/entry_process.cpp
@@ -28,7 +28,7 @@
                        });
 }
 
-/// Addresses that callers may use: entries that take new work.
+/// Returns the URLs of live entries that accept new requests.
 std::vector<std::string> entry_urls(const membership_service& members) {
     std::vector<std::string> urls;
     for (const member& value : members.alive(process_role::entry))
@@ -36,7 +36,7 @@
     return urls;
 }
 
-/// Adds the services of an entry in the order in which they depend.
+/// Adds the services of an entry, dependencies first.
 void add_services(process& self, const settings& values,
                   request_service::callback to_caller) {
     kernel& core = self.core();
--- a/src/app/explain.cpp
+++ b/src/app/explain.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Fields that begin a line, or that every line of a request has.
+/// Returns true for fields that begin the text or that all lines share.
 bool is_common_field(const std::string& name) {
     return name == "time" || name == "process" || name == "event" ||
            name == "level" || name == "request";
@@ -46,7 +46,8 @@
 
 std::vector<std::string> request_timeline::describe() const {
     std::vector<log_record> sorted = records_;
-    // Stable: lines of one time stay in the order of their log.
+    // Stable sort: lines with equal times keep the order in which they were
+    // read.
     std::stable_sort(sorted.begin(), sorted.end(),
                      [](const log_record& left, const log_record& right) {
                          return left.time < right.time;
@@ -74,7 +75,7 @@
         std::cout << line << '\n';
     if (!lines.empty())
         return exit_code::success;
-    std::cerr << "no line names the request " << id << '\n';
+    std::cerr << "no log line found for request " << id << '\n';
     return exit_code::refused;
 }
 
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// Time for which an address may still be in callers' caches while it drains.
+/// Callers may still use a cached address of this process for this long after
+/// the drain has begun.
 constexpr seconds min_drain_time{3};
-/// A drain that lasts longer is broken off.
+/// Time limit for draining; after it the process stops with requests open.
 constexpr std::chrono::minutes max_drain_time{10};
 constexpr milliseconds drain_check_interval{50};
 
@@ -24,7 +25,7 @@
           core_, [this] { begin_drain(); },
           [] {
               log_event(log_level::warn, "reload_ignored",
-                        {{"reason", "settings are read at the start only"}});
+                        {{"reason", "settings are read only at startup"}});
           }),
       http_(core_, configuration.listen.http_threads) {
     start_logging(self_, parse_log_level(configuration.process.log_level));
@@ -120,7 +121,8 @@
     }
     if (spent < min_drain_time || !idle)
         return;
-    // Requests that arrive until the next check are still answered.
+    // Stop listening first and stop the kernel at a later check, so that
+    // requests that arrive in between are still answered.
     if (http_.web().is_listening())
         http_.web().stop_listening();
     else
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,7 +20,8 @@
     "Exit codes: 0 done; 1 refused or invalid; 2 wrong arguments or "
     "settings; 3 outcome not yet known; 4 the entry did not answer.";
 
-/// Loads settings for `role`; prints the fault and returns nothing otherwise.
+/// Loads settings and checks that they are for `role`; prints the error and
+/// returns nothing on failure.
 std::optional<settings> load_settings_for(const std::string& file,
                                           process_role role) {
     error failure;
@@ -30,7 +31,7 @@
         return std::nullopt;
     }
     if (value->process.role != role) {
-        std::cerr << file << ": process.role names the other role\n";
+        std::cerr << file << ": process.role does not match this command\n";
         return std::nullopt;
     }
     return value;
@@ -50,14 +51,15 @@
     });
 }
 
-/// Runs a process of the platform and ends without static destructors: the
-/// logging library's wait for threads of its own, which may not end there.
+/// Runs a process on the users' platform and exits without running static
+/// destructors: those of the logging library wait for its own threads, which
+/// may never end there.
 template <exit_code (*Run)()>
 exit_code run_and_exit() {
     std::quick_exit(static_cast<int>(Run()));
 }
 
-/// Adds the processes that take their settings from the users' platform.
+/// Adds the commands that take their settings from the users' platform.
 void add_platform(CLI::App& app, command& chosen) {
     CLI::App* node =
         app.add_subcommand("platform", "Run on the users' platform");
@@ -71,28 +73,29 @@
 }
 
 void add_check(CLI::App& app, command& chosen) {
-    CLI::App* check = app.add_subcommand("check", "Check files without effect");
+    CLI::App* check =
+        app.add_subcommand("check", "Validate files without applying them");
     check->require_subcommand(1);
     const auto add = [&](const char* name, const char* description,
                          exit_code (*run)(const std::vector<std::string>&)) {
         CLI::App* sub = check->add_subcommand(name, description);
         auto files = std::make_shared<std::vector<std::string>>();
-        sub->add_option("files", *files, "Files to check")->required();
+        sub->add_option("files", *files, "Files to validate")->required();
         sub->callback([files, run, &chosen] {
             chosen = [files, run] { return run(*files); };
         });
     };
-    add("settings", "Check settings files (TOML)", check_settings);
-    add("rollout", "Check rollout documents (JSON)", check_rollouts);
+    add("settings", "Validate settings files (TOML)", check_settings);
+    add("rollout", "Validate rollout documents (JSON)", check_rollouts);
 }
 
 void add_explain(CLI::App& app, command& chosen) {
     CLI::App* sub = app.add_subcommand(
-        "explain", "Print the life of one request from log files");
+        "explain", "Print the events of one request from log files");
     auto id = std::make_shared<std::string>();
     auto files = std::make_shared<std::vector<std::string>>();
     sub->add_option("id", *id, "Id of the request")->required();
-    sub->add_option("logs", *files, "Logs of any processes")->required();
+    sub->add_option("logs", *files, "Log files of any processes")->required();
     sub->callback([id, files, &chosen] {
         chosen = [id, files] { return explain(*id, *files); };
     });
@@ -126,26 +129,29 @@
     };
     const auto takes_operation = [&](CLI::App* sub) {
         sub->add_option("--operation", options.operation_id,
-                        "Operation id, to repeat an earlier call safely");
+                        "Operation id; reuse it to retry a call safely");
         return sub;
     };
-    needs_file(add("validate", "List what blocks a document", ctl_validate));
-    needs_file(add("diff", "Compare a file with what is in force", ctl_diff));
+    needs_file(
+        add("validate", "List the problems of a document", ctl_validate));
+    needs_file(
+        add("diff", "Compare a file with the document in force", ctl_diff));
     takes_operation(needs_file(add("apply", "Submit a document", ctl_apply)));
     CLI::App* operation =
-        add("operation", "Ask what became of an operation", ctl_operation);
+        add("operation", "Show the outcome of an operation", ctl_operation);
     operation->add_option("id", options.operation_id, "Operation id")
         ->required();
     operation
         ->add_option("--based-on", options.number,
-                     "Revision that the edit was made on")
+                     "Revision on which the edit was based")
         ->required();
-    add("status", "Show what is in force on each VM", ctl_status);
+    add("status", "Show the revision in force on each VM", ctl_status);
     add("show", "Print a document", ctl_show)
-        ->add_option("--revision", options.number, "Revision; 0: in force");
+        ->add_option("--revision", options.number,
+                     "Revision; 0: the document in force");
     add("history", "List accepted revisions", ctl_history);
     takes_operation(
-        add("rollback", "Accept an earlier content again", ctl_rollback))
+        add("rollback", "Accept an earlier revision again", ctl_rollback))
         ->add_option("--to", options.number, "Revision to return to")
         ->required();
 }
@@ -157,8 +163,8 @@
     ctl->add_option("--token", options.token, "Operator's token")
         ->envname("OSPREYSTAGE_TOKEN");
     add_rollout(*ctl, options, chosen);
-    add_ctl_command(*ctl, "dump", "Print a process's state", ctl_dump, options,
-                    chosen);
+    add_ctl_command(*ctl, "dump", "Print the state dump of a process", ctl_dump,
+                    options, chosen);
 }
 
 } // namespace
--- a/tests/explain.cpp
+++ b/tests/explain.cpp
@@ -6,7 +6,8 @@
 
 using namespace ospreystage;
 
-TEST_CASE("explain - lines of one request over several logs, by time") {
+TEST_CASE(
+    "explain - lines of one request from several logs are sorted by time") {
     std::istringstream first(
         R"({"time":"T2","process":"e1","event":"attempt_failed","request":"r1","reason":"cut"}
 {"time":"T1","process":"e1","event":"request_sent","request":"r1","server":"i-1"}
@@ -26,7 +27,7 @@
                                    R"(T3 e2 request_sent server="i-2")"});
 }
 
-TEST_CASE("explain - a request that no log names has no lines") {
+TEST_CASE("explain - a request that appears in no log has no lines") {
     std::istringstream log("{\"event\":\"started\"}\n");
     request_timeline timeline("r1");
     timeline.read(log);
--- a/tests/harness.cpp
+++ b/tests/harness.cpp
@@ -86,7 +86,7 @@
     CHECK(child.wait(milliseconds(0)) == 128 + SIGKILL);
 }
 
-TEST_CASE("harness - a child ends with its owner") {
+TEST_CASE("harness - destroying the owner ends the child process") {
     pid_t pid = 0;
     {
         const child_process child = start({"/bin/sleep", "60"});
@@ -96,7 +96,7 @@
     CHECK(::kill(pid, 0) != 0);
 }
 
-TEST_CASE("harness - a program that does not exist fails with its name") {
+TEST_CASE("harness - the error for a nonexistent program contains its path") {
     error failure;
     const auto started = value_or_error(
         [&] {
@@ -139,7 +139,7 @@
     CHECK(first.operators.front().token == "operator-token-1");
 }
 
-TEST_CASE("harness - the platform of a fleet runs and is replaced by name") {
+TEST_CASE("harness - stand-ins of a fleet run and are replaced by name") {
     fleet_options options;
     options.plain_agents = 1;
     fleet system(options);
@@ -185,7 +185,7 @@
           call_result::mixed);
 }
 
-TEST_CASE("caller - a stream without an end mark is cut") {
+TEST_CASE("caller - a stream without a final event is truncated") {
     answer_reader reader(true, steady::now());
     reader.receive(token_event("a") + token_event("b"), steady::now());
     call_outcome outcome;
@@ -195,7 +195,7 @@
     CHECK(outcome.token_gaps.size() == 1);
 }
 
-TEST_CASE("caller - events split over pieces are read whole") {
+TEST_CASE("caller - events split across reads are reassembled") {
     const std::string text =
         token_event("a") + token_event("b") + event("[DONE]");
     answer_reader reader(true, steady::now());
@@ -206,7 +206,7 @@
     CHECK(outcome.tokens.size() == 2);
 }
 
-TEST_CASE("caller - refusals are told apart by their outcome") {
+TEST_CASE("caller - refusals are classified by their outcome") {
     const std::string refusal =
         R"({"error":{"outcome":"not-run","reason":"overloaded",)"
         R"("retry_after_ms":250}})";
@@ -226,7 +226,8 @@
     CHECK(streamed.tokens.size() == 1);
 }
 
-TEST_CASE("caller - without any entry a call is lost after its grace") {
+TEST_CASE(
+    "caller - a call with no reachable entry is lost after its grace period") {
     const auto port = free_ports(1).at(0);
     caller client({"http://127.0.0.1:" + std::to_string(port)}, {});
     chat_call call = four_tokens();
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -174,7 +174,7 @@
                                           {"chunk_bytes", spec.chunk_bytes},
                                           {"seed", spec.seed}});
     if (answer.status != 200 || answer.body["version"] != expected.version)
-        throw std::runtime_error("origin did not publish " + spec.name);
+        throw std::runtime_error("origin failed to publish " + spec.name);
     return expected;
 }
 
@@ -266,7 +266,7 @@
     child_process& started = process(name);
     if (started.await_line("ready", options_.start_timeout))
         return true;
-    problem_ = name + " is not ready: " + tail(started.log_text());
+    problem_ = name + " did not become ready: " + tail(started.log_text());
     return false;
 }
 
@@ -280,7 +280,7 @@
 bool fleet::list_vms() {
     for (const fleet_member& member : members_) {
         if (!set_vm(member.name, "live")) {
-            problem_ = "cannot list " + member.name;
+            problem_ = "cannot add to the VM list: " + member.name;
             return false;
         }
     }
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -11,16 +11,18 @@
 
 namespace ospreystage::support {
 
-/// Path of the product's binary.
+/// Returns the path of the product's executable.
 [[nodiscard]] std::string product_binary();
 
-/// Path of the stand-ins' binary.
+/// Returns the path of the executable that simulates platform services and
+/// backend servers (the stand-ins).
 [[nodiscard]] std::string standin_binary();
 
-/// Makes and returns a folder for the files of one run.
+/// Creates a folder for the files of one run and returns its path.
 [[nodiscard]] std::string make_run_folder();
 
-/// The product and its platform as separate processes on loopback.
+/// Runs the product and stand-ins for its platform as separate processes on
+/// the loopback interface.
 ///
 /// Processes are addressed by name: `kv`, `vms`, `origin`, `entry-1`, `vm-1`
 /// and `backend-vm-1` (the engine or plain service on that VM).
@@ -33,24 +35,25 @@
   public:
     // ---- Construction ------------------------------------------------------
 
-    /// Chooses addresses; starts nothing.
+    /// Assigns addresses; starts no process.
     explicit fleet(fleet_options options);
     ~fleet() = default;
     fleet(const fleet&) = delete;
     fleet& operator=(const fleet&) = delete;
 
-    /// Starts everything, and waits until each process is ready.
+    /// Starts all processes and waits until each is ready.
     [[nodiscard]] bool start();
 
-    /// Starts the stand-ins only.
+    /// Starts only the stand-ins and lists the VMs.
     [[nodiscard]] bool start_standins();
 
-    /// Starts the entries and agents; after `start_standins`.
+    /// Starts the entries and agents; call it after `start_standins`.
     [[nodiscard]] bool start_members();
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Returns why a start failed, with the last output of the process.
+    /// Returns why a start failed; if a process was not ready, with the end of
+    /// its log.
     [[nodiscard]] const std::string& problem() const noexcept {
         return problem_;
     }
@@ -79,19 +82,21 @@
     void freeze(const std::string& name);
     void thaw(const std::string& name);
 
-    /// Kills the process if it runs, and starts it anew at its address.
+    /// Kills the process if it runs and restarts it at the same address.
     [[nodiscard]] bool replace(const std::string& name);
 
-    /// Replaces an agent and what runs beside it on its VM.
+    /// Replaces an agent and the backend server on its VM.
     [[nodiscard]] bool replace_vm(const std::string& vm);
 
-    /// Sets `/control/faults` of a stand-in.
+    /// Posts `faults` to `/control/faults` of a stand-in.
     bool set_faults(const std::string& name, const nlohmann::json& faults);
 
-    /// Changes a VM in the platform's list: `live`, `leaving` or `absent`.
+    /// Sets a VM's state in the platform's VM list: `live`, `leaving` or
+    /// `absent`.
     bool set_vm(const std::string& vm, const std::string& state);
 
-    /// Publishes a version at the origin.
+    /// Publishes a version at the origin; throws `std::runtime_error` on
+    /// failure.
     [[nodiscard]] weights_version publish(const weights_spec& spec);
 
   private:
@@ -114,8 +119,7 @@
     std::map<std::string, std::vector<std::string>> commands_;
     std::map<std::string, std::string> urls_;
     std::map<std::string, child_process> processes_;
-    std::map<std::string, int>
-        start_counts_; ///< Starts of each process so far.
+    std::map<std::string, int> start_counts_; ///< Number of starts per process.
     std::vector<std::string> standins_;
     std::string problem_;
 };
--- a/tests/support/fleet_options.hpp
+++ b/tests/support/fleet_options.hpp
@@ -10,22 +10,22 @@
 
 namespace ospreystage::support {
 
-/// Shape and limits of a fleet of separate processes.
+/// Size, limits and settings of a fleet of separate processes.
 struct fleet_options {
-    std::string run_folder; ///< Made if missing; empty for one of its own.
+    std::string run_folder; ///< Created if missing; empty: generated.
 
     // ---- Counts ------------------------------------------------------------
 
     std::size_t data_centres = 1;
     std::size_t entries = 3; ///< The first `max_fleet_witnesses` are witnesses.
-    std::size_t agents = 2;  ///< VMs with an engine: `vm-1` and on.
-    std::size_t plain_agents = 0; ///< VMs with a plain service, after those.
-    /// All plain agents use one plain service, `backend-plain`.
+    std::size_t agents = 2;  ///< VMs with an engine, from `vm-1`.
+    std::size_t plain_agents = 0; ///< VMs with a plain service, numbered next.
+    /// All plain agents share one plain service, `backend-plain`.
     bool share_plain_backend = false;
 
     // ---- Platform and backend servers --------------------------------------
 
-    bool fencing = false; ///< Engines refuse orders with old numbers.
+    bool fencing = false; ///< Engines refuse orders with old fence numbers.
     std::uint32_t capacity = 16;
     std::uint32_t queue = 64;
     milliseconds engine_step{9};
@@ -57,10 +57,10 @@
     milliseconds start_timeout{15'000}; ///< Until every process is ready.
 };
 
-/// Largest number of witnesses that a fleet names.
+/// Largest number of witnesses in a fleet.
 inline constexpr std::size_t max_fleet_witnesses = 7;
 
-/// Names and addresses of one process of the product.
+/// Name and addresses of an entry or agent.
 struct fleet_member {
     std::string name;
     bool agent = false;
@@ -71,14 +71,14 @@
     std::string backend_url;  ///< `http://host:port` (agents).
 };
 
-/// URLs of the platform's stand-ins.
+/// URLs of the stand-ins for the platform's services.
 struct platform_urls {
     std::string kv;
     std::string vms;
     std::string origin;
 };
 
-/// Returns the settings of `member` as TOML.
+/// Returns the settings of `member` as TOML text.
 [[nodiscard]] std::string
 settings_text(const fleet_options& options, const fleet_member& member,
               const std::vector<witness_settings>& witnesses,
--- a/tests/system_control.cpp
+++ b/tests/system_control.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 constexpr milliseconds poll_interval{30};
-constexpr seconds in_force_target{4}; ///< Of an accepted edit, everywhere.
-constexpr seconds leaving_target{3};  ///< Until a leaving VM gets no work.
+constexpr seconds in_force_target{4}; ///< For an edit on every process.
+constexpr seconds leaving_target{3};  ///< Until a leaving VM gets no requests.
 constexpr seconds settle_limit{10};
 constexpr seconds child_limit{10};
 constexpr int leaving_calls = 40;
-constexpr std::size_t calls_in_progress = 6; ///< In progress while a VM leaves.
+constexpr std::size_t calls_in_progress = 6; ///< While a VM leaves.
 
 const operator_settings unrestricted_operator{
     "operator-1", "operator-token-1", {"*"}};
@@ -39,7 +39,7 @@
     return options;
 }
 
-/// Document of the fleet; without the engine service if there are no engines.
+/// Returns the document of the fleet, without services that have no VMs.
 rollout_document rollout_of(const fleet& system,
                             const std::vector<digest>& versions = {}) {
     rollout_document out = basic_rollout(system, versions);
@@ -86,7 +86,7 @@
     return get_json(system.url(entry), path, token_of(unrestricted_operator));
 }
 
-/// A fleet with revision 1 in force on every process, and a monitor.
+/// A fleet with revision 1 in force on every process, and a revision monitor.
 struct running_fleet {
     explicit running_fleet(const fleet_options& options) : system(options) {
         INFO(system.problem());
@@ -101,7 +101,7 @@
 
     fleet system;
     std::unique_ptr<revision_monitor> monitor;
-    rollout_document document; ///< Draft on revision 1.
+    rollout_document document; ///< Draft based on revision 1.
 };
 
 child_process start(const std::vector<std::string>& arguments) {
@@ -117,7 +117,7 @@
     return std::move(*started);
 }
 
-/// Exit status and output of the product's binary.
+/// Exit status and output of the product's executable.
 struct run_result {
     int status = -1;
     std::string output;
@@ -152,7 +152,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// Requests that a plain service has started so far.
+/// Returns the number of requests that a plain service has started so far.
 std::size_t runs_on(const fleet& system, const std::string& vm) {
     const auto runs =
         get_json(system.url("backend-" + vm), "/control/runs").body;
@@ -174,7 +174,7 @@
     return call;
 }
 
-/// Makes calls and returns how many were served.
+/// Makes `count` calls and returns how many were served.
 int serve_calls(fleet& system, int count) {
     caller client(system.entry_urls(), {});
     int served = 0;
@@ -205,7 +205,7 @@
 
 // ---- Accepted edits ---------------------------------------------------------
 
-TEST_CASE("system - an edit spreads though the platform fails right after it") {
+TEST_CASE("system - an edit spreads when the platform fails right after it") {
     running_fleet running(small_options());
     fleet& system = running.system;
     ++organisation_of(running.document, "branch-1").weight;
@@ -215,7 +215,7 @@
     REQUIRE(system.set_faults("kv", {{"down", true}}));
     CHECK(running.monitor->await(all_names(system), 2, begun, in_force_target));
 
-    SECTION("and nodes that restart with nothing catch up without it") {
+    SECTION("and restarted nodes without state catch up without the platform") {
         for (const std::string name : {"vm-1", "entry-1"}) {
             REQUIRE(system.replace(name));
             const instant ready = steady::now();
@@ -246,7 +246,8 @@
     CHECK(found.body["result"] == "accepted");
 }
 
-TEST_CASE("system - the loser of a race is told the fields and by whom") {
+TEST_CASE(
+    "system - a rejected concurrent edit names the fields and the operator") {
     running_fleet running(small_options());
     fleet& system = running.system;
     rollout_document drafts[] = {running.document, running.document};
@@ -276,7 +277,7 @@
     CHECK(clash["theirs"] == (first_won ? "7" : "9"));
 }
 
-TEST_CASE("system - a paused entry catches up and spreads nothing older") {
+TEST_CASE("system - a paused entry catches up and spreads no older revision") {
     running_fleet running(small_options());
     fleet& system = running.system;
     system.freeze("entry-1");
@@ -327,7 +328,7 @@
     CHECK(serve_calls(system, leaving_calls) == leaving_calls);
     CHECK(runs_on(system, "vm-2") > 0);
 
-    // A request in progress keeps the process from ending at once.
+    // Requests in progress keep the process from ending immediately.
     REQUIRE(system.set_faults("backend-vm-2", {{"stall", true}}));
     std::vector<std::thread> open;
     open.reserve(calls_in_progress);
@@ -376,7 +377,7 @@
     CHECK(after["fence"] == before["fence"]);
 }
 
-TEST_CASE("system - a thawed outdated agent changes nothing that lasts") {
+TEST_CASE("system - a resumed outdated agent makes no lasting change") {
     fleet_options options = small_options();
     options.agents = 1;
     options.plain_agents = 0;
@@ -501,7 +502,7 @@
     CHECK(accepted.status == 200);
 }
 
-TEST_CASE("system - operators are told what their token does not allow") {
+TEST_CASE("system - changes that a token does not permit are rejected") {
     running_fleet running(small_options());
     fleet& system = running.system;
     const operator_settings nobody{"nobody", "wrong", {"*"}};
@@ -520,14 +521,16 @@
           200);
 }
 
-TEST_CASE("system - a lagging entry lets nobody undo what others changed") {
+TEST_CASE(
+    "system - a lagging entry rejects a draft that reverts a newer edit") {
     running_fleet running(small_options());
     fleet& system = running.system;
     rollout_document draft = running.document;
     organisation_of(draft, "branch-2").weight = 6;
     system.freeze("entry-1");
     REQUIRE(submit(system, "entry-2", draft, "second").status == 200);
-    // Names the new revision as its base, with the content of the old one.
+    // The draft names the new revision as its base but has the content of the
+    // old one, which would revert the other operator's edit.
     rollout_document undoing = running.document;
     undoing.based_on = 2;
     organisation_of(undoing, "branch-1").weight = 6;
@@ -604,7 +607,7 @@
     CHECK(contains(missing.output, file + ".missing"));
 }
 
-TEST_CASE("system - an address in use ends the process with its name") {
+TEST_CASE("system - the error for an address in use contains the address") {
     fleet_options options = small_options();
     options.plain_agents = 0;
     fleet system(options);
--- a/tests/system_requests.cpp
+++ b/tests/system_requests.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-constexpr std::uint64_t long_answer = 200; ///< Tokens; about two seconds.
-constexpr milliseconds mid_answer{600};    ///< Into such an answer.
+constexpr std::uint64_t long_answer = 200; ///< Tokens; takes about two seconds.
+constexpr milliseconds mid_answer{
+    600}; ///< Time after the start of a long answer.
 constexpr seconds settle_limit{10};
-/// Time in which a cache event reaches the entries.
+/// Time limit for a cache event to reach the entries.
 constexpr milliseconds cache_event_time{1500};
 constexpr milliseconds poll_interval{50};
 
@@ -62,7 +63,8 @@
     return running.client().chat_at(running.system().url(entry), call);
 }
 
-/// Returns how often a key of an organisation started, over all back ends.
+/// Returns how often requests with an organisation's key were started, summed
+/// over all back ends.
 std::uint64_t runs_of(const fleet& system, const std::string& organisation,
                       const std::string& key) {
     std::uint64_t runs = 0;
@@ -78,7 +80,8 @@
     return runs;
 }
 
-/// Returns the agent at whose back end a request runs, or an empty name.
+/// Returns the first agent whose back end is running a request, or an empty
+/// string.
 std::string busy_agent(const fleet& system) {
     for (const fleet_member& member : system.members()) {
         if (!member.agent)
@@ -118,7 +121,8 @@
     }
 }
 
-/// Callers that repeat as ordinary ones do, for at most once and others.
+/// Returns the options of a load that mixes at-most-once and other requests
+/// and retries like ordinary callers.
 load_options mixed_load(std::uint64_t seed) {
     load_options options;
     options.seed = seed;
@@ -137,7 +141,8 @@
 
 } // namespace
 
-TEST_CASE("system - a key is decided while one of three witnesses is gone") {
+TEST_CASE(
+    "system - a keyed request is served while one of three witnesses is down") {
     serving_fleet running(small_fleet());
     running.system().kill("entry-2");
     for (int number = 0; number < 4; ++number) {
@@ -150,7 +155,8 @@
     }
 }
 
-TEST_CASE("system - a key that ran is not told not-run without a majority") {
+TEST_CASE(
+    "system - a key that ran is not answered not-run without a majority") {
     serving_fleet running(small_fleet());
     chat_call call = long_stream("ran-before");
     call.max_tokens = 4;
@@ -163,7 +169,7 @@
     CHECK(runs_of(running.system(), "head-office", "ran-before") == 1);
 }
 
-TEST_CASE("system - an engine that restarts mid-answer mixes nothing") {
+TEST_CASE("system - an engine restart during an answer does not mix streams") {
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     auto plain = begin_chat(running, "entry-1", long_stream(""));
@@ -185,7 +191,8 @@
     CHECK(outcome_matches_runs(second, runs));
 }
 
-TEST_CASE("system - a stream goes on elsewhere after its agent is killed") {
+TEST_CASE(
+    "system - a stream resumes on another agent after its agent is killed") {
     serving_fleet running(small_fleet());
     auto stream = begin_chat(running, "entry-1", long_stream(""));
     std::this_thread::sleep_for(mid_answer);
@@ -215,7 +222,8 @@
     CHECK(runs_of(system, "head-office", "killed") == 1);
 }
 
-TEST_CASE("system - orders to a paused agent run only if not told not-run") {
+TEST_CASE(
+    "system - requests to a paused agent run only if not answered not-run") {
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     for (const std::string& name : system.agent_names())
@@ -247,7 +255,8 @@
     }
 }
 
-TEST_CASE("system - a key runs once when its entry dies and it is repeated") {
+TEST_CASE(
+    "system - a key runs once when its entry dies and the caller retries") {
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     auto first = begin_chat(running, "entry-1", long_stream("entry-dies"));
@@ -266,7 +275,7 @@
     CHECK(runs_of(system, "head-office", "entry-dies") == 1);
 }
 
-TEST_CASE("system - a key is of its organisation only") {
+TEST_CASE("system - a key is scoped to its organisation") {
     serving_fleet running(small_fleet());
     chat_call call = long_stream("shared");
     call.max_tokens = 8;
@@ -323,7 +332,8 @@
     CHECK(runs_of(system, "head-office", "once") == 1);
 }
 
-TEST_CASE("system - an entry that stops cuts no stream and gets no new work") {
+TEST_CASE(
+    "system - a stopping entry truncates no stream and gets no new requests") {
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     chat_call call = long_stream("");
@@ -341,7 +351,8 @@
     chat_call fresh = long_stream("");
     fresh.max_tokens = 4;
     CHECK(chat(running, "entry-1", fresh).result == call_result::not_run);
-    // An earlier try of a key may have run, so the entry can't deny that.
+    // An earlier attempt with the key may have run, so the entry must not
+    // answer `not-run`.
     fresh.idempotency_key = "fresh";
     CHECK(chat(running, "entry-1", fresh).result == call_result::unknown);
     CHECK(stream.get().result == call_result::served);
@@ -351,7 +362,7 @@
     CHECK(runs_of(system, "head-office", "fresh") == 0);
 }
 
-TEST_CASE("system - an agent that stops cuts no stream") {
+TEST_CASE("system - a stopping agent truncates no stream") {
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     load callers(system, running.client(), mixed_load(11));
@@ -372,7 +383,7 @@
     check_clean(callers.finish());
 }
 
-TEST_CASE("system - two agents that stop at once cut no request") {
+TEST_CASE("system - two agents stopping together truncate no request") {
     fleet_options options = small_fleet();
     options.agents = 4;
     serving_fleet running(options);
@@ -389,7 +400,7 @@
     CHECK(summary.unknown == 0);
 }
 
-TEST_CASE("system - a version change cuts and mixes no stream") {
+TEST_CASE("system - a version change truncates and mixes no stream") {
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     load_options options = mixed_load(13);
@@ -414,7 +425,8 @@
     CHECK(last.version == next.version);
 }
 
-TEST_CASE("system - a rollback of a half-spread version mixes nothing") {
+TEST_CASE(
+    "system - a rollback of a partially distributed version mixes no stream") {
     fleet_options options = small_fleet();
     options.origin_bytes_per_second = 4 * 1024 * 1024;
     serving_fleet running(options);
@@ -474,7 +486,8 @@
     CHECK(next.result == call_result::served);
 }
 
-TEST_CASE("system - a stream leaves an agent whose connections went silent") {
+TEST_CASE(
+    "system - a stream moves from an agent whose connections are silent") {
     serving_fleet running(small_fleet());
     fleet& system = running.system();
     auto stream = begin_chat(running, "entry-1", long_stream(""));
