--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -107,11 +107,11 @@
 rollout_document
 without_organisations(rollout_document document,
                       const std::set<std::string>& organisations) {
-    std::erase_if(document.organisations, [&](const organisation& entry) {
-        return organisations.contains(entry.name);
+    std::erase_if(document.organisations, [&](const organisation& item) {
+        return organisations.contains(item.name);
     });
-    for (deployment& entry : document.deployments)
-        std::erase_if(entry.traffic, [&](const traffic_rule& rule) {
+    for (deployment& item : document.deployments)
+        std::erase_if(item.traffic, [&](const traffic_rule& rule) {
             return organisations.contains(rule.organisation);
         });
     return document;
@@ -186,8 +186,8 @@
 admin_api::authenticate(const api_request& request) const {
     const auto found =
         std::find_if(values_.operators.begin(), values_.operators.end(),
-                     [&](const operator_settings& entry) {
-                         return has_token(request, entry.token);
+                     [&](const operator_settings& item) {
+                         return has_token(request, item.token);
                      });
     return found == values_.operators.end() ? nullptr : &*found;
 }
--- a/src/app/agent_process.cpp
+++ b/src/app/agent_process.cpp
@@ -157,9 +157,9 @@
     const auto document = configuration_.document();
     if (!document)
         return out;
-    for (const deployment& entry : document->deployments) {
-        if (contains(entry.vms, values_.process.vm))
-            out.push_back(entry);
+    for (const deployment& item : document->deployments) {
+        if (contains(item.vms, values_.process.vm))
+            out.push_back(item);
     }
     std::stable_sort(out.begin(), out.end(),
                      [](const deployment& left, const deployment& right) {
@@ -174,8 +174,8 @@
         return;
     }
     std::vector<requested_version> versions;
-    for (const deployment& entry : requested_deployments())
-        versions.push_back({entry.version, entry.priority});
+    for (const deployment& item : requested_deployments())
+        versions.push_back({item.version, item.priority});
     distribution_->request_versions(versions);
 }
 
@@ -185,10 +185,10 @@
     served.versions = held;
     const auto document = configuration_.document();
     if (document) {
-        for (const service& entry : document->services) {
-            if (!contains(entry.vms, values_.process.vm))
+        for (const service& item : document->services) {
+            if (!contains(item.vms, values_.process.vm))
                 continue;
-            served.name = entry.name;
+            served.name = item.name;
             served.in_force = true;
         }
     }
@@ -201,10 +201,10 @@
         if (attempts_.is_version_in_use(version))
             out.in_use.insert(version);
     }
-    for (const deployment& entry : requested_deployments()) {
-        out.requested.push_back(entry.version);
-        if (distribution_->complete(entry.version))
-            out.complete.insert(entry.version);
+    for (const deployment& item : requested_deployments()) {
+        out.requested.push_back(item.version);
+        if (distribution_->complete(item.version))
+            out.complete.insert(item.version);
     }
     return out;
 }
@@ -213,9 +213,9 @@
                                  std::vector<std::uint64_t> prefixes) {
     std::vector<digest> offered;
     bool all_held = true;
-    for (const deployment& entry : requested_deployments()) {
-        if (state.held.contains(entry.version))
-            offered.push_back(entry.version);
+    for (const deployment& item : requested_deployments()) {
+        if (state.held.contains(item.version))
+            offered.push_back(item.version);
         else
             all_held = false;
     }
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -86,8 +86,8 @@
                 has_token(request, configuration_.cluster.token) ||
                 std::any_of(configuration_.operators.begin(),
                             configuration_.operators.end(),
-                            [&](const operator_settings& entry) {
-                                return has_token(request, entry.token);
+                            [&](const operator_settings& item) {
+                                return has_token(request, item.token);
                             });
             if (!allowed)
                 return json_response(401,
