--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -18,10 +18,10 @@
 
 using nlohmann::json;
 
-/// Bound on the wait for an acceptance; its own calls end earlier.
-constexpr seconds acceptance_wait{12};
-/// Revisions that the history lists.
-constexpr revision listed_revisions = 50;
+/// Time limit for an acceptance; the calls that it makes time out earlier.
+constexpr seconds acceptance_timeout{12};
+/// Largest number of revisions in one history response.
+constexpr revision max_listed_revisions = 50;
 constexpr std::size_t max_operation_id_bytes = 128;
 
 json document_json(const rollout_document& document) {
@@ -93,7 +93,7 @@
                           {"clashes", clashes_json(refusal.clashes)}});
 }
 
-/// Answers a document that is malformed.
+/// Returns the 422 response for a document that cannot be parsed.
 http_response malformed_response(const error& failure) {
     return json_response(422,
                          {{"result", "rejected"},
@@ -102,20 +102,22 @@
                           {"problems", problems_json({{"", failure.detail}})}});
 }
 
-/// Removes what belongs to the named organisations.
-rollout_document without(rollout_document document,
-                         const std::set<std::string>& organisations) {
-    std::erase_if(document.organisations, [&](const organisation& entry) {
-        return organisations.contains(entry.name);
+/// Returns `document` without the definitions and traffic rules of the named
+/// organisations.
+rollout_document
+without_organisations(rollout_document document,
+                      const std::set<std::string>& organisations) {
+    std::erase_if(document.organisations, [&](const organisation& item) {
+        return organisations.contains(item.name);
     });
-    for (deployment& entry : document.deployments)
-        std::erase_if(entry.traffic, [&](const traffic_rule& rule) {
+    for (deployment& item : document.deployments)
+        std::erase_if(item.traffic, [&](const traffic_rule& rule) {
             return organisations.contains(rule.organisation);
         });
     return document;
 }
 
-bool is_unlimited(const std::vector<std::string>& organisations) {
+bool allows_all_organisations(const std::vector<std::string>& organisations) {
     return std::find(organisations.begin(), organisations.end(), "*") !=
            organisations.end();
 }
@@ -128,16 +130,18 @@
 
 bool may_change(const std::vector<std::string>& organisations,
                 const rollout_document& before, const rollout_document& after) {
-    if (is_unlimited(organisations))
+    if (allows_all_organisations(organisations))
         return true;
     const std::set<std::string> names(organisations.begin(),
                                       organisations.end());
-    return diff(without(before, names), without(after, names)).empty();
+    return diff(without_organisations(before, names),
+                without_organisations(after, names))
+        .empty();
 }
 
 admin_api::admin_api(const settings& values, kernel& core,
-                     configuration& register_)
-    : values_(values), core_(core), configuration_(register_),
+                     configuration& rollout_configuration)
+    : values_(values), core_(core), configuration_(rollout_configuration),
       client_(values.platform.kv_url, values.platform.call_timeout) {}
 
 void admin_api::add_routes(api_server& server) {
@@ -182,8 +186,8 @@
 admin_api::authenticate(const api_request& request) const {
     const auto found =
         std::find_if(values_.operators.begin(), values_.operators.end(),
-                     [&](const operator_settings& entry) {
-                         return has_token(request, entry.token);
+                     [&](const operator_settings& item) {
+                         return has_token(request, item.token);
                      });
     return found == values_.operators.end() ? nullptr : &*found;
 }
@@ -209,13 +213,14 @@
                           ignored);
 }
 
-std::optional<rollout_document> admin_api::base_of(revision number) {
+std::optional<rollout_document> admin_api::read_base(revision number) {
     if (number == 0)
         return rollout_document{};
     const auto current = in_force();
     if (current && current->number == number)
         return *current;
-    // The current document is copied to the history before it is replaced.
+    // The newest revision may not be in the history yet: the current document
+    // is copied there before it is replaced.
     auto newest = read_key(current_rollout_key);
     if (newest && newest->number == number)
         return newest;
@@ -225,7 +230,7 @@
 http_response admin_api::show() {
     const auto document = in_force();
     if (!document)
-        return error_response(404, "nothing is in force");
+        return error_response(404, "no rollout document is in force");
     return json_response(200, document_json(*document));
 }
 
@@ -258,7 +263,8 @@
     const json body = json::parse(request.message.body, nullptr, false);
     if (!body.is_object() || !body.contains("document") ||
         !body.contains("operation_id") || !body["operation_id"].is_string())
-        return error_response(400, "expected operation_id and document");
+        return error_response(
+            400, "expected an object with operation_id (string) and document");
     error failure;
     auto draft = value_or_error(
         [&] { return parse_rollout(body["document"].dump()); }, failure);
@@ -274,29 +280,30 @@
     if (!body.is_object() || !body.contains("to") ||
         !body["to"].is_number_unsigned() || !body.contains("operation_id") ||
         !body["operation_id"].is_string())
-        return error_response(400, "expected operation_id and to");
+        return error_response(
+            400,
+            "expected an object with operation_id (string) and to (revision)");
     const auto current = in_force();
     auto earlier = read_history(body["to"].get<revision>());
     if (!earlier || !current)
-        return error_response(404, "no such revision can be read");
+        return error_response(404, "revision not found or unreadable");
     earlier->based_on = current->number;
     return submit(by, std::move(*earlier),
                   body["operation_id"].get<std::string>());
 }
 
 std::optional<http_response>
-admin_api::objection(const operator_settings& by,
-                     const rollout_document& draft) {
-    if (is_unlimited(by.organisations))
+admin_api::permission_error(const operator_settings& by,
+                            const rollout_document& draft) {
+    if (allows_all_organisations(by.organisations))
         return std::nullopt;
-    const auto base = base_of(draft.based_on);
+    const auto base = read_base(draft.based_on);
     if (!base)
-        return error_response(
-            503, "the revision that the draft is based on cannot be read");
+        return error_response(503, "the draft's base revision cannot be read");
     if (may_change(by.organisations, *base, draft))
         return std::nullopt;
-    return error_response(403,
-                          "the token allows changes of its organisations only");
+    return error_response(
+        403, "the token permits changes to its own organisations only");
 }
 
 http_response admin_api::submit(const operator_settings& by,
@@ -304,7 +311,7 @@
                                 const std::string& operation_id) {
     if (!is_operation_id(operation_id))
         return error_response(400, "operation_id is empty or too long");
-    if (auto refusal = objection(by, draft))
+    if (auto refusal = permission_error(by, draft))
         return *std::move(refusal);
     acceptance_request request;
     request.based_on = draft.based_on;
@@ -319,7 +326,7 @@
         acceptance_result value;
     };
     const auto result = std::make_shared<shared_result>();
-    result->value = not_yet_known{operation_id, "still being tried"};
+    result->value = not_yet_known{operation_id, "acceptance still in progress"};
     core_.post("admin", [this, request, result] {
         configuration_.accept(request,
                               [result](const acceptance_result& value) {
@@ -328,11 +335,11 @@
                               });
     });
     const bool done = result->done.WaitForNotificationWithTimeout(
-        absl::FromChrono(acceptance_wait));
+        absl::FromChrono(acceptance_timeout));
     const acceptance_result outcome =
         done ? result->value
              : acceptance_result(
-                   not_yet_known{operation_id, "still being tried"});
+                   not_yet_known{operation_id, "acceptance still in progress"});
     log_event(log_level::info, "acceptance",
               {{"operator", by.name},
                {"operation", operation_id},
@@ -349,7 +356,7 @@
                            return digit >= '0' && digit <= '9';
                        });
     if (!valid)
-        return error_response(400, "expected based_on");
+        return error_response(400, "based_on must be a revision number");
     const revision based_on = std::stoull(base);
     const acceptance_result result =
         run(acceptance::resolve(id, based_on), client_);
@@ -374,7 +381,7 @@
     json out = json::array();
     const revision last = current ? current->number : 0;
     for (revision number = last; number > 0; --number) {
-        if (last - number >= listed_revisions)
+        if (last - number >= max_listed_revisions)
             break;
         const auto document =
             number == last ? std::optional(*current) : read_history(number);
@@ -392,7 +399,7 @@
 http_response admin_api::show_revision(const api_request& request) {
     const auto document = read_history(std::stoull(request.captures[0]));
     if (!document)
-        return error_response(404, "no such revision can be read");
+        return error_response(404, "revision not found or unreadable");
     return json_response(200, document_json(*document));
 }
 
--- a/src/app/agent_process.cpp
+++ b/src/app/agent_process.cpp
@@ -23,7 +23,7 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-/// Answers with what `read` returns, or 404 with its error.
+/// Returns the bytes from `read` as a response, or 404 with the error.
 template <typename Read>
 http_response bytes_response(const char* content_type, Read read) {
     error failure;
@@ -33,7 +33,8 @@
     return json_response(404, {{"error", to_string(failure)}});
 }
 
-/// Connects the services of one agent: what the document asks of this VM.
+/// Creates the services of one agent and applies the rollout document's
+/// requirements for this VM to them.
 class agent {
   public:
     agent(process& self, const settings& values);
@@ -46,12 +47,12 @@
 
   private:
     [[nodiscard]] bool has_engine() const;
-    [[nodiscard]] std::vector<deployment> wanted() const;
+    [[nodiscard]] std::vector<deployment> requested_deployments() const;
     void apply_document();
-    void serve(const std::vector<digest>& held);
+    void publish_served_versions(const std::vector<digest>& held);
     [[nodiscard]] engine_target target(const engine_state& state) const;
-    void observe(const engine_state& state,
-                 std::vector<std::uint64_t> prefixes);
+    void handle_engine_report(const engine_state& state,
+                              std::vector<std::uint64_t> prefixes);
 
     process& self_;
     const settings& values_;
@@ -99,9 +100,9 @@
     needs.target = [this](const engine_state& state) { return target(state); };
     needs.observed = [this](const engine_state& state,
                             std::vector<std::uint64_t> prefixes) {
-        observe(state, std::move(prefixes));
+        handle_engine_report(state, std::move(prefixes));
     };
-    needs.unreachable = [this] { serve({}); };
+    needs.unreachable = [this] { publish_served_versions({}); };
     engine_ = &core.add(
         "engine", std::make_unique<engine_service>(
                       core, values, self.self().incarnation, std::move(needs)));
@@ -151,14 +152,14 @@
     return values_.backend_server.kind == "engine";
 }
 
-std::vector<deployment> agent::wanted() const {
+std::vector<deployment> agent::requested_deployments() const {
     std::vector<deployment> out;
     const auto document = configuration_.document();
     if (!document)
         return out;
-    for (const deployment& entry : document->deployments) {
-        if (contains(entry.vms, values_.process.vm))
-            out.push_back(entry);
+    for (const deployment& item : document->deployments) {
+        if (contains(item.vms, values_.process.vm))
+            out.push_back(item);
     }
     std::stable_sort(out.begin(), out.end(),
                      [](const deployment& left, const deployment& right) {
@@ -169,25 +170,25 @@
 
 void agent::apply_document() {
     if (!has_engine()) {
-        serve({});
+        publish_served_versions({});
         return;
     }
     std::vector<requested_version> versions;
-    for (const deployment& entry : wanted())
-        versions.push_back({entry.version, entry.priority});
+    for (const deployment& item : requested_deployments())
+        versions.push_back({item.version, item.priority});
     distribution_->request_versions(versions);
 }
 
-void agent::serve(const std::vector<digest>& held) {
+void agent::publish_served_versions(const std::vector<digest>& held) {
     scheduled_service served;
     served.engine = has_engine();
     served.versions = held;
     const auto document = configuration_.document();
     if (document) {
-        for (const service& entry : document->services) {
-            if (!contains(entry.vms, values_.process.vm))
+        for (const service& item : document->services) {
+            if (!contains(item.vms, values_.process.vm))
                 continue;
-            served.name = entry.name;
+            served.name = item.name;
             served.in_force = true;
         }
     }
@@ -200,28 +201,29 @@
         if (attempts_.is_version_in_use(version))
             out.in_use.insert(version);
     }
-    for (const deployment& entry : wanted()) {
-        out.requested.push_back(entry.version);
-        if (distribution_->complete(entry.version))
-            out.complete.insert(entry.version);
+    for (const deployment& item : requested_deployments()) {
+        out.requested.push_back(item.version);
+        if (distribution_->complete(item.version))
+            out.complete.insert(item.version);
     }
     return out;
 }
 
-void agent::observe(const engine_state& state,
-                    std::vector<std::uint64_t> prefixes) {
+void agent::handle_engine_report(const engine_state& state,
+                                 std::vector<std::uint64_t> prefixes) {
     std::vector<digest> offered;
     bool all_held = true;
-    for (const deployment& entry : wanted()) {
-        if (state.held.contains(entry.version))
-            offered.push_back(entry.version);
+    for (const deployment& item : requested_deployments()) {
+        if (state.held.contains(item.version))
+            offered.push_back(item.version);
         else
             all_held = false;
     }
-    // Superseded versions answer until this engine holds what replaces them.
+    // Continue to offer superseded versions until the engine holds every
+    // requested version.
     if (!all_held)
         offered.assign(state.held.begin(), state.held.end());
-    serve(offered);
+    publish_served_versions(offered);
     back_end_load load;
     load.running = state.running;
     load.queued = state.queued;
@@ -231,7 +233,8 @@
     attempts_.set_load(std::move(load));
 }
 
-/// Makes the folder for chunks; prints the fault and returns false otherwise.
+/// Creates the chunk folder if one is configured; prints the error and returns
+/// false on failure.
 bool make_chunk_folder(const std::string& folder) {
     std::error_code problem;
     if (!folder.empty())
--- a/src/app/ctl.cpp
+++ b/src/app/ctl.cpp
@@ -18,7 +18,7 @@
 constexpr seconds call_timeout{15};
 constexpr const char* base = "/admin/v1/rollout";
 
-/// Answer of an entry; `status` 0 means that there was none.
+/// HTTP response of an entry; `status` is 0 if there was none.
 struct reply {
     int status = 0;
     nlohmann::json body;
@@ -90,8 +90,9 @@
     return fmt::format("ctl-{}", new_incarnation());
 }
 
-/// Returns the operation to use, and tells the operator its id up front.
-std::string operation_of(const ctl_options& options) {
+/// Returns the operation id, given or generated, and prints it before the call
+/// so that the operator can query the outcome if the response is lost.
+std::string choose_operation_id(const ctl_options& options) {
     std::string id = options.operation_id.empty() ? new_operation_id()
                                                   : options.operation_id;
     std::cerr << "operation " << id << '\n';
@@ -123,9 +124,9 @@
     const auto document = read_document(options.file);
     if (!document)
         return exit_code::usage;
-    return print(post(
-        options, base,
-        {{"operation_id", operation_of(options)}, {"document", *document}}));
+    return print(post(options, base,
+                      {{"operation_id", choose_operation_id(options)},
+                       {"document", *document}}));
 }
 
 exit_code ctl_operation(const ctl_options& options) {
@@ -150,9 +151,9 @@
 }
 
 exit_code ctl_rollback(const ctl_options& options) {
-    return print(post(
-        options, fmt::format("{}/rollback", base),
-        {{"operation_id", operation_of(options)}, {"to", options.number}}));
+    return print(post(options, fmt::format("{}/rollback", base),
+                      {{"operation_id", choose_operation_id(options)},
+                       {"to", options.number}}));
 }
 
 exit_code ctl_dump(const ctl_options& options) {
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// Time for which an address may still be in callers' caches while it drains.
-constexpr seconds least_drain{3};
-/// A drain that lasts longer is broken off.
-constexpr std::chrono::minutes most_drain{10};
+/// Callers may still use a cached address of this process for this long after
+/// the drain has begun.
+constexpr seconds min_drain_time{3};
+/// Time limit for draining; after it the process stops with requests open.
+constexpr std::chrono::minutes max_drain_time{10};
 constexpr milliseconds drain_check_interval{50};
 
 } // namespace
@@ -24,7 +25,7 @@
           core_, [this] { begin_drain(); },
           [] {
               log_event(log_level::warn, "reload_ignored",
-                        {{"reason", "settings are read at the start only"}});
+                        {{"reason", "settings are read only at startup"}});
           }),
       http_(core_, configuration.listen.http_threads) {
     start_logging(self_, parse_log_level(configuration.process.log_level));
@@ -39,8 +40,8 @@
     idle_ = std::move(idle);
 }
 
-void process::on_kernel_ended(std::function<void()> ended) {
-    kernel_ended_ = std::move(ended);
+void process::on_kernel_stopped(std::function<void()> callback) {
+    on_kernel_stopped_ = std::move(callback);
 }
 
 void process::stop_now(const std::string& reason) {
@@ -66,8 +67,8 @@
                {"peer", to_string(configuration_.listen.peer)}});
     print_line("ready");
     core_.run();
-    if (kernel_ended_)
-        kernel_ended_();
+    if (on_kernel_stopped_)
+        on_kernel_stopped_();
     log_event(log_level::info, "stopped");
     finish_logging();
     return exit_code::success;
@@ -85,8 +86,8 @@
                 has_token(request, configuration_.cluster.token) ||
                 std::any_of(configuration_.operators.begin(),
                             configuration_.operators.end(),
-                            [&](const operator_settings& entry) {
-                                return has_token(request, entry.token);
+                            [&](const operator_settings& item) {
+                                return has_token(request, item.token);
                             });
             if (!allowed)
                 return json_response(401,
@@ -114,13 +115,14 @@
 void process::check_drained() {
     const auto spent = steady::now() - drain_started_;
     const bool idle = http_.web().exchanges() == 0 && (!idle_ || idle_());
-    if (spent >= most_drain) {
+    if (spent >= max_drain_time) {
         core_.stop();
         return;
     }
-    if (spent < least_drain || !idle)
+    if (spent < min_drain_time || !idle)
         return;
-    // Requests that arrive until the next check are still answered.
+    // Stop listening first and stop the kernel at a later check, so that
+    // requests that arrive in between are still answered.
     if (http_.web().is_listening())
         http_.web().stop_listening();
     else
