--- a/include/ospreystage/http/api_server.hpp
+++ b/include/ospreystage/http/api_server.hpp
@@ -53,7 +53,7 @@
 class api_server {
   public:
     using handler = std::function<void(exchange_id, api_request)>;
-    using plain_handler = std::function<http_response(const api_request&)>;
+    using sync_handler = std::function<http_response(const api_request&)>;
 
     // ---- Construction ------------------------------------------------------
 
@@ -62,27 +62,27 @@
 
     /// Adds a route whose answer is sent through `web`, at any later time.
     void route(const std::string& method, const std::string& path,
-               handler body);
+               handler handle);
 
     /// Adds such a route for all paths that match a regular expression.
     void route_pattern(const std::string& method, const std::string& pattern,
-                       handler body);
+                       handler handle);
 
     /// Adds a route that answers at once, on the kernel's thread.
-    void route_plain(const std::string& method, const std::string& path,
-                     plain_handler body);
+    void route_sync(const std::string& method, const std::string& path,
+                    sync_handler handle);
 
     /// Adds a route that blocks, for all paths that match a pattern.
     void route_blocking(const std::string& method, const std::string& pattern,
-                        plain_handler body);
+                        sync_handler handle);
 
     /// Calls `abandoned` when a caller goes away before its answer is whole,
     /// and `drained` when it has read what `web_server::write` held back.
-    void on_caller(std::function<void(exchange_id)> abandoned,
-                   std::function<void(exchange_id)> drained);
+    void set_stream_handlers(std::function<void(exchange_id)> abandoned,
+                             std::function<void(exchange_id)> drained);
 
     /// Sets how requests that cannot be read are answered.
-    void on_refused(web_server::refusal_text describe);
+    void set_refusal_formatter(web_server::refusal_formatter describe);
 
     // ---- Service -----------------------------------------------------------
 
@@ -95,18 +95,18 @@
     struct pattern_route {
         std::string method;
         std::regex pattern;
-        handler body;
+        handler handle;
     };
 
     void dispatch(exchange_id exchange, http_request message);
-    [[nodiscard]] handler on_pool(plain_handler body);
+    [[nodiscard]] handler run_on_pool(sync_handler handle);
 
     kernel& core_;
     absl::flat_hash_map<std::string, handler> routes_; ///< By method and path.
     std::vector<pattern_route> patterns_;
     std::function<void(exchange_id)> abandoned_;
     std::function<void(exchange_id)> drained_;
-    web_server::refusal_text describe_refusal_;
+    web_server::refusal_formatter describe_refusal_;
     web_server web_;
     worker_pool pool_;
 };
--- a/include/ospreystage/http/stream_socket.hpp
+++ b/include/ospreystage/http/stream_socket.hpp
@@ -47,7 +47,7 @@
     void write(std::string_view bytes);
 
     /// Stops or goes on reading, to slow down the peer.
-    void set_reading(bool wanted);
+    void set_reading(bool enabled);
 
     /// Closes the descriptor; no handler is called afterwards.
     void close();
@@ -57,7 +57,7 @@
 
     /// Tells the peer that no more output follows, once the queued output was
     /// handed over; still reads.
-    void finish_output();
+    void shutdown_output();
 
     [[nodiscard]] bool is_open() const noexcept { return descriptor_ >= 0; }
     [[nodiscard]] bool is_connected() const noexcept { return connected_; }
@@ -77,7 +77,7 @@
     /// Sends what the system takes; returns false if the peer is gone.
     bool send_pending();
     void end(end_kind kind);
-    [[nodiscard]] std::uint32_t wanted_events() const noexcept;
+    [[nodiscard]] std::uint32_t requested_events() const noexcept;
 
     kernel& core_;
     /// Expires with this object; handlers may destroy their own socket.
@@ -90,8 +90,8 @@
     bool connected_ = false;
     bool reading_ = true;
     bool closing_ = false;
-    bool has_flush_ = false; ///< Waits for the end of the turn.
-    bool finishing_ = false;
+    bool is_flush_scheduled_ = false; ///< Waits for the end of the turn.
+    bool shutdown_after_output_ = false;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/http/web_client.hpp
+++ b/include/ospreystage/http/web_client.hpp
@@ -76,7 +76,7 @@
     void cancel(call_id call);
 
     /// Stops or goes on reading the response.
-    void set_reading(call_id call, bool wanted);
+    void set_reading(call_id call, bool enabled);
 
     /// Returns true if a call to `server` needs no more than `limit`
     /// connections; 0: no limit.
@@ -93,7 +93,7 @@
         address server;
         std::optional<call_id> call;
         std::unique_ptr<response_parser> parser;
-        bool is_skipping = false; ///< The response is of another request.
+        bool is_discarding = false; ///< The response is of another request.
         milliseconds max_idle{};
         instant idle_until{};
     };
@@ -120,18 +120,18 @@
     void finish(std::uint64_t id, call_end end);
     void release(std::uint64_t id);
     void drop(std::uint64_t id);
-    void bury(std::unique_ptr<connection_record> connection,
-              std::unique_ptr<call_record> call);
+    void defer_destruction(std::unique_ptr<connection_record> connection,
+                           std::unique_ptr<call_record> call);
     void sweep();
 
     kernel& core_;
     absl::flat_hash_map<std::uint64_t, std::unique_ptr<connection_record>>
         connections_;
     absl::flat_hash_map<std::string, std::vector<std::uint64_t>> idle_;
-    absl::flat_hash_map<std::string, std::size_t> counts_;
+    absl::flat_hash_map<std::string, std::size_t> connection_counts_;
     absl::flat_hash_map<std::uint64_t, std::unique_ptr<call_record>> calls_;
-    std::vector<std::unique_ptr<connection_record>> dropped_;
-    std::vector<std::unique_ptr<call_record>> ended_;
+    std::vector<std::unique_ptr<connection_record>> dropped_connections_;
+    std::vector<std::unique_ptr<call_record>> ended_calls_;
     std::uint64_t next_connection_ = 1;
     std::uint64_t next_call_ = 1;
 };
--- a/include/ospreystage/http/web_server.hpp
+++ b/include/ospreystage/http/web_server.hpp
@@ -32,7 +32,7 @@
   public:
     /// Makes the answer to a request that cannot be read, from the status, the
     /// reason and the target as far as it was read.
-    using refusal_text = std::function<http_response(
+    using refusal_formatter = std::function<http_response(
         std::uint16_t, const std::string&, const std::string&)>;
     struct callbacks {
         std::function<void(exchange_id, http_request)> requested;
@@ -41,7 +41,7 @@
         /// All output was handed over after `write` had returned false.
         std::function<void(exchange_id)> drained;
         /// Describes a refusal to the caller; absent: in plain text.
-        refusal_text describe_refusal = nullptr;
+        refusal_formatter describe_refusal = nullptr;
     };
 
     // ---- Construction ------------------------------------------------------
@@ -68,7 +68,7 @@
     void set_limits(const server_limits& limits);
 
     /// Ends every connection after its next answer; still takes new ones.
-    void end_after_answers();
+    void close_after_responses();
 
     /// Takes no new connections but those that are waiting already.
     void stop_listening();
@@ -103,8 +103,8 @@
         bool is_busy = false;    ///< A request is being answered.
         bool is_chunked = false; ///< Its answer is sent in parts.
         bool keep_alive = true;
-        bool has_asked = false; ///< Was told to continue with the body.
-        bool wants_drain = false;
+        bool is_expect_checked = false; ///< Was told to continue with the body.
+        bool awaits_drain = false;
         bool is_refused = false; ///< Waits for the caller to read why.
         instant deadline{};      ///< For the next request, or the rest of one.
     };
--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -141,7 +141,7 @@
       client_(values.platform.kv_url, values.platform.call_timeout) {}
 
 void admin_api::add_routes(api_server& server) {
-    server.route_plain("GET", "/console", [](const api_request&) {
+    server.route_sync("GET", "/console", [](const api_request&) {
         return text_response("text/html", std::string(console_page()));
     });
     using request = const api_request&;
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -76,10 +76,10 @@
 void process::add_common_routes() {
     metrics_.gauge("ospreystage_log_lines_dropped",
                    [] { return static_cast<double>(dropped_log_lines()); });
-    http_.route_plain("GET", "/metrics", [this](const api_request&) {
+    http_.route_sync("GET", "/metrics", [this](const api_request&) {
         return text_response("text/plain", metrics_.text());
     });
-    http_.route_plain(
+    http_.route_sync(
         "GET", "/admin/v1/dump", [this](const api_request& request) {
             const bool allowed =
                 has_token(request, configuration_.cluster.token) ||
@@ -105,7 +105,7 @@
     draining_ = true;
     drain_started_ = steady::now();
     log_event(log_level::info, "draining");
-    http_.web().end_after_answers();
+    http_.web().close_after_responses();
     if (drain_)
         drain_();
     core_.every("drain", drain_check_interval, [this] { check_drained(); });
--- a/src/http/api_server.cpp
+++ b/src/http/api_server.cpp
@@ -21,10 +21,10 @@
 }
 
 /// Carries out a blocking route; one that fails must not end the process.
-http_response answer(const api_server::plain_handler& body,
-                     const api_request& request) {
+http_response run_blocking_route(const api_server::sync_handler& handle,
+                                 const api_request& request) {
     try {
-        return body(request);
+        return handle(request);
     } catch (const std::exception& problem) {
         log_event(log_level::error, "route_failed",
                   {{"path", request.path}, {"error", problem.what()}});
@@ -35,11 +35,12 @@
 } // namespace
 
 std::string query_value(const api_request& request, std::string_view name) {
-    for (const std::string& item :
+    for (const std::string& parameter :
          std::vector<std::string>(absl::StrSplit(request.query, '&'))) {
-        const std::size_t equals = item.find('=');
-        if (equals != std::string::npos && item.substr(0, equals) == name)
-            return item.substr(equals + 1);
+        const std::size_t separator = parameter.find('=');
+        if (separator != std::string::npos &&
+            parameter.substr(0, separator) == name)
+            return parameter.substr(separator + 1);
     }
     return "";
 }
@@ -64,9 +65,9 @@
 }
 
 bool has_token(const api_request& request, const std::string& token) {
-    const std::string given = bearer_token(request);
-    return !token.empty() && given.size() == token.size() &&
-           CRYPTO_memcmp(given.data(), token.data(), token.size()) == 0;
+    const std::string received = bearer_token(request);
+    return !token.empty() && received.size() == token.size() &&
+           CRYPTO_memcmp(received.data(), token.data(), token.size()) == 0;
 }
 
 // ---- Routes ----------------------------------------------------------------
@@ -93,46 +94,47 @@
       pool_(blocking_threads) {}
 
 void api_server::route(const std::string& method, const std::string& path,
-                       handler body) {
-    routes_[route_key(method, path)] = std::move(body);
+                       handler handle) {
+    routes_[route_key(method, path)] = std::move(handle);
 }
 
 void api_server::route_pattern(const std::string& method,
-                               const std::string& pattern, handler body) {
-    patterns_.push_back({method, std::regex(pattern), std::move(body)});
+                               const std::string& pattern, handler handle) {
+    patterns_.push_back({method, std::regex(pattern), std::move(handle)});
 }
 
-void api_server::route_plain(const std::string& method, const std::string& path,
-                             plain_handler body) {
+void api_server::route_sync(const std::string& method, const std::string& path,
+                            sync_handler handle) {
     route(method, path,
-          [this, body = std::move(body)](exchange_id exchange,
-                                         const api_request& request) {
-              web_.respond(exchange, body(request));
+          [this, handle = std::move(handle)](exchange_id exchange,
+                                             const api_request& request) {
+              web_.respond(exchange, handle(request));
           });
 }
 
 void api_server::route_blocking(const std::string& method,
                                 const std::string& pattern,
-                                plain_handler body) {
-    route_pattern(method, pattern, on_pool(std::move(body)));
+                                sync_handler handle) {
+    route_pattern(method, pattern, run_on_pool(std::move(handle)));
 }
 
-void api_server::on_caller(std::function<void(exchange_id)> abandoned,
-                           std::function<void(exchange_id)> drained) {
+void api_server::set_stream_handlers(std::function<void(exchange_id)> abandoned,
+                                     std::function<void(exchange_id)> drained) {
     abandoned_ = std::move(abandoned);
     drained_ = std::move(drained);
 }
 
-void api_server::on_refused(web_server::refusal_text describe) {
+void api_server::set_refusal_formatter(web_server::refusal_formatter describe) {
     describe_refusal_ = std::move(describe);
 }
 
-api_server::handler api_server::on_pool(plain_handler body) {
-    return [this, body = std::move(body)](exchange_id exchange,
-                                          api_request request) {
-        pool_.run([this, body, exchange, request = std::move(request)] {
+api_server::handler api_server::run_on_pool(sync_handler handle) {
+    return [this, handle = std::move(handle)](exchange_id exchange,
+                                              api_request request) {
+        pool_.run([this, handle, exchange, request = std::move(request)] {
             core_.post(service_name,
-                       [this, exchange, response = answer(body, request)] {
+                       [this, exchange,
+                        response = run_blocking_route(handle, request)] {
                            web_.respond(exchange, response);
                        });
         });
@@ -141,25 +143,25 @@
 
 void api_server::dispatch(exchange_id exchange, http_request message) {
     api_request request;
-    const std::size_t mark = message.target.find('?');
-    request.path = message.target.substr(0, mark);
-    if (mark != std::string::npos)
-        request.query = message.target.substr(mark + 1);
+    const std::size_t query_start = message.target.find('?');
+    request.path = message.target.substr(0, query_start);
+    if (query_start != std::string::npos)
+        request.query = message.target.substr(query_start + 1);
     request.message = std::move(message);
-    const auto found =
+    const auto exact =
         routes_.find(route_key(request.message.method, request.path));
-    if (found != routes_.end()) {
-        found->second(exchange, std::move(request));
+    if (exact != routes_.end()) {
+        exact->second(exchange, std::move(request));
         return;
     }
-    for (const pattern_route& each : patterns_) {
+    for (const pattern_route& candidate : patterns_) {
         std::smatch match;
-        if (each.method != request.message.method ||
-            !std::regex_match(request.path, match, each.pattern))
+        if (candidate.method != request.message.method ||
+            !std::regex_match(request.path, match, candidate.pattern))
             continue;
         for (std::size_t group = 1; group < match.size(); ++group)
             request.captures.push_back(match[group].str());
-        each.body(exchange, std::move(request));
+        candidate.handle(exchange, std::move(request));
         return;
     }
     web_.respond(exchange,
--- a/src/http/message_parser.cpp
+++ b/src/http/message_parser.cpp
@@ -29,8 +29,8 @@
     using text = boost::beast::string_view;
 
     virtual http_fields& fields() = 0;
-    virtual void take(text body) = 0;
-    virtual void head_done() {}
+    virtual void append_body(text body) = 0;
+    virtual void on_head_complete() {}
 
     void on_field_impl(beast_http::field, text name, text value,
                        error_code&) override {
@@ -38,18 +38,18 @@
     }
     void on_header_impl(error_code&) override {
         is_head_complete = true;
-        head_done();
+        on_head_complete();
     }
     void on_body_init_impl(const boost::optional<std::uint64_t>&,
                            error_code&) override {}
     std::size_t on_body_impl(text body, error_code&) override {
-        take(body);
+        append_body(body);
         return body.size();
     }
     void on_chunk_header_impl(std::uint64_t, text, error_code&) override {}
     std::size_t on_chunk_body_impl(std::uint64_t, text body,
                                    error_code&) override {
-        take(body);
+        append_body(body);
         return body.size();
     }
     void on_finish_impl(error_code&) override {}
@@ -90,8 +90,8 @@
     http_request request;
 
     http_fields& fields() override { return request.fields; }
-    void take(text body) override { request.body.append(body); }
-    void head_done() override { request.keep_alive = keep_alive(); }
+    void append_body(text body) override { request.body.append(body); }
+    void on_head_complete() override { request.keep_alive = keep_alive(); }
 
     void on_request_impl(beast_http::verb, text method, text target, int,
                          error_code&) override {
@@ -132,11 +132,11 @@
     body_handler on_body;
 
     http_fields& fields() override { return response.fields; }
-    void take(text body) override {
+    void append_body(text body) override {
         if (on_body)
             on_body({body.data(), body.size()});
     }
-    void head_done() override { response.keep_alive = keep_alive(); }
+    void on_head_complete() override { response.keep_alive = keep_alive(); }
 
     void on_request_impl(beast_http::verb, text, text, int,
                          error_code&) override {}
--- a/src/http/stream_socket.cpp
+++ b/src/http/stream_socket.cpp
@@ -18,9 +18,9 @@
 
 constexpr std::size_t read_bytes = 16 * 1024;
 /// Reads of one wake-up, so that one fast peer does not starve the others.
-constexpr int reads_per_wake = 8;
+constexpr int max_reads_per_event = 8;
 /// Output that waits for the end of a turn at most: one read of a peer.
-constexpr std::size_t most_gathered_bytes = 16 * 1024;
+constexpr std::size_t max_deferred_bytes = 16 * 1024;
 
 bool would_block() noexcept {
     return errno == EAGAIN || errno == EWOULDBLOCK;
@@ -74,26 +74,26 @@
     output_.append(bytes);
     if (!connected_)
         return;
-    if (pending_bytes() > most_gathered_bytes)
+    if (pending_bytes() > max_deferred_bytes)
         flush();
     else
         flush_at_turn_end();
 }
 
 void stream_socket::flush_at_turn_end() {
-    if (std::exchange(has_flush_, true))
+    if (std::exchange(is_flush_scheduled_, true))
         return;
     core_.at_turn_end([this, alive = std::weak_ptr<int>(alive_)] {
         if (alive.expired())
             return;
-        has_flush_ = false;
+        is_flush_scheduled_ = false;
         if (is_open())
             flush();
     });
 }
 
-void stream_socket::set_reading(bool wanted) {
-    reading_ = wanted;
+void stream_socket::set_reading(bool enabled) {
+    reading_ = enabled;
     update_events();
 }
 
@@ -113,29 +113,29 @@
     closing_ = true;
     if (pending_bytes() == 0)
         end(end_kind::closed);
-    else if (!has_flush_)
+    else if (!is_flush_scheduled_)
         update_events();
 }
 
-void stream_socket::finish_output() {
+void stream_socket::shutdown_output() {
     if (!is_open())
         return;
-    finishing_ = true;
+    shutdown_after_output_ = true;
     if (pending_bytes() == 0)
         shutdown(descriptor_, SHUT_WR);
 }
 
-std::uint32_t stream_socket::wanted_events() const noexcept {
-    std::uint32_t wanted = 0;
+std::uint32_t stream_socket::requested_events() const noexcept {
+    std::uint32_t mask = 0;
     if (!connected_ || pending_bytes() > 0)
-        wanted |= EPOLLOUT;
+        mask |= EPOLLOUT;
     if (connected_ && reading_ && !closing_)
-        wanted |= EPOLLIN | EPOLLRDHUP;
-    return wanted;
+        mask |= EPOLLIN | EPOLLRDHUP;
+    return mask;
 }
 
 void stream_socket::watch() {
-    events_ = wanted_events();
+    events_ = requested_events();
     core_.watch(descriptor_, events_,
                 [this](std::uint32_t events) { on_events(events); });
 }
@@ -143,11 +143,11 @@
 void stream_socket::update_events() {
     if (!is_open())
         return;
-    const std::uint32_t wanted = wanted_events();
-    if (wanted == events_)
+    const std::uint32_t requested = requested_events();
+    if (requested == events_)
         return;
-    events_ = wanted;
-    core_.rewatch(descriptor_, wanted);
+    events_ = requested;
+    core_.rewatch(descriptor_, requested);
 }
 
 void stream_socket::on_events(std::uint32_t events) {
@@ -183,14 +183,14 @@
 void stream_socket::read_all() {
     std::array<char, read_bytes> buffer{};
     const std::weak_ptr<int> alive = alive_;
-    bool is_new = false;
+    bool has_input = false;
     bool is_ended = false;
     end_kind kind = end_kind::closed;
-    for (int turn = 0; turn < reads_per_wake; ++turn) {
+    for (int round = 0; round < max_reads_per_event; ++round) {
         const ssize_t count = ::read(descriptor_, buffer.data(), buffer.size());
         if (count > 0) {
             input.append(buffer.data(), static_cast<std::size_t>(count));
-            is_new = true;
+            has_input = true;
             if (static_cast<std::size_t>(count) < buffer.size())
                 break;
             continue;
@@ -201,7 +201,7 @@
         kind = count == 0 ? end_kind::closed : end_kind::reset;
         break;
     }
-    if (is_new && handlers_.readable)
+    if (has_input && handlers_.readable)
         handlers_.readable();
     if (is_ended && !alive.expired() && is_open())
         end(kind);
@@ -240,7 +240,7 @@
             end(end_kind::closed);
             return;
         }
-        if (finishing_)
+        if (shutdown_after_output_)
             shutdown(descriptor_, SHUT_WR);
         if (had_output && handlers_.drained) {
             handlers_.drained();
--- a/src/http/web_client.cpp
+++ b/src/http/web_client.cpp
@@ -15,13 +15,13 @@
 constexpr milliseconds default_max_idle{1000};
 /// Part of a stated idle time after which a connection is not used again: a
 /// request must not cross the server's close.
-constexpr double idle_share = 0.5;
+constexpr double usable_idle_fraction = 0.5;
 constexpr milliseconds sweep_interval{250};
 /// Lower statuses are informational: the response itself follows.
 constexpr std::uint16_t first_final_status = 200;
 
 /// Returns how long the connection may be idle, from `Keep-Alive: timeout=N`.
-milliseconds idle_time(const http_response& response) {
+milliseconds keep_alive_timeout(const http_response& response) {
     const std::string* value = find_field(response.fields, "Keep-Alive");
     if (value == nullptr)
         return default_max_idle;
@@ -30,11 +30,11 @@
         return default_max_idle;
     const std::size_t first = position + std::string_view("timeout=").size();
     const std::size_t last = value->find_first_not_of("0123456789", first);
-    std::int64_t stated = 0;
-    if (!absl::SimpleAtoi(value->substr(first, last - first), &stated))
+    std::int64_t timeout_s = 0;
+    if (!absl::SimpleAtoi(value->substr(first, last - first), &timeout_s))
         return default_max_idle;
-    return std::chrono::duration_cast<milliseconds>(seconds(stated) *
-                                                    idle_share);
+    return std::chrono::duration_cast<milliseconds>(seconds(timeout_s) *
+                                                    usable_idle_fraction);
 }
 
 } // namespace
@@ -128,23 +128,23 @@
     finish(found->second->connection, call_end::truncated);
 }
 
-void web_client::set_reading(call_id call, bool wanted) {
+void web_client::set_reading(call_id call, bool enabled) {
     const auto found = calls_.find(static_cast<std::uint64_t>(call));
     if (found != calls_.end())
-        connections_.at(found->second->connection)->socket.set_reading(wanted);
+        connections_.at(found->second->connection)->socket.set_reading(enabled);
 }
 
 std::size_t web_client::connections(const address& server) const {
-    const auto found = counts_.find(to_string(server));
-    return found == counts_.end() ? 0 : found->second;
+    const auto found = connection_counts_.find(to_string(server));
+    return found == connection_counts_.end() ? 0 : found->second;
 }
 
 bool web_client::has_free_connection(const address& server,
                                      std::size_t limit) const {
     if (limit == 0 || connections(server) < limit)
         return true;
-    const auto idle = idle_.find(to_string(server));
-    return idle != idle_.end() && !idle->second.empty();
+    const auto available = idle_.find(to_string(server));
+    return available != idle_.end() && !available->second.empty();
 }
 
 // ---- Connections -----------------------------------------------------------
@@ -171,7 +171,7 @@
          nullptr});
     stream_socket& socket = record->socket;
     connections_.emplace(id, std::move(record));
-    ++counts_[key];
+    ++connection_counts_[key];
     socket.connect(server);
     return id;
 }
@@ -196,22 +196,22 @@
 
 void web_client::start_parser(std::uint64_t id) {
     connection_record& record = *connections_.at(id);
-    record.is_skipping = false;
+    record.is_discarding = false;
     const call_record& call =
         *calls_.at(static_cast<std::uint64_t>(*record.call));
     record.parser = std::make_unique<response_parser>(
         call.is_head_request, [this, id](std::string_view data) {
             const auto found = connections_.find(id);
-            if (found == connections_.end() || found->second->is_skipping)
+            if (found == connections_.end() || found->second->is_discarding)
                 return;
             deliver_head(id);
             // The owner may have cancelled on the head.
-            const auto still = connections_.find(id);
-            if (still == connections_.end() || still->second->is_skipping ||
-                !still->second->call)
+            const auto current = connections_.find(id);
+            if (current == connections_.end() ||
+                current->second->is_discarding || !current->second->call)
                 return;
             call_record& target =
-                *calls_.at(static_cast<std::uint64_t>(*still->second->call));
+                *calls_.at(static_cast<std::uint64_t>(*current->second->call));
             if (target.handlers.body)
                 target.handlers.body(data);
         });
@@ -220,7 +220,7 @@
 /// Hands over the head once, or finds that the response is a stray one.
 void web_client::deliver_head(std::uint64_t id) {
     connection_record& record = *connections_.at(id);
-    if (!record.call || record.is_skipping ||
+    if (!record.call || record.is_discarding ||
         record.parser->response().status < first_final_status)
         return;
     call_record& call = *calls_.at(static_cast<std::uint64_t>(*record.call));
@@ -230,7 +230,7 @@
             ? nullptr
             : find_field(response.fields, call.echoed_field);
     if (echoed != nullptr && *echoed != call.echoed_value) {
-        record.is_skipping = true;
+        record.is_discarding = true;
         log_event(log_level::warn, "response_of_another_request",
                   {{"server", to_string(record.server)},
                    {"expected", call.echoed_value},
@@ -280,7 +280,7 @@
             return;
         const bool is_informational =
             record.parser->response().status < first_final_status;
-        if (!record.is_skipping && !is_informational) {
+        if (!record.is_discarding && !is_informational) {
             finish(id, call_end::complete);
             return;
         }
@@ -311,10 +311,10 @@
         return;
     }
     const bool has_head =
-        !record.is_skipping && record.parser->is_head_complete();
-    const bool is_whole = kind == stream_socket::end_kind::closed && has_head &&
-                          record.parser->finish();
-    if (is_whole)
+        !record.is_discarding && record.parser->is_head_complete();
+    const bool is_complete = kind == stream_socket::end_kind::closed &&
+                             has_head && record.parser->finish();
+    if (is_complete)
         finish(id, call_end::complete);
     else
         finish(id, has_head ? call_end::truncated : call_end::no_answer);
@@ -332,20 +332,20 @@
     record.call.reset();
     // Output that is left means that the server answered before it had read
     // the request; bytes after the response belong to nothing.
-    const bool is_in_step =
+    const bool is_reusable =
         end == call_end::complete && record.socket.is_open() &&
         record.socket.input.empty() && record.socket.pending_bytes() == 0 &&
         record.parser->response().keep_alive;
-    if (is_in_step) {
-        record.max_idle = idle_time(record.parser->response());
+    if (is_reusable) {
+        record.max_idle = keep_alive_timeout(record.parser->response());
         release(id);
     } else {
         drop(id);
     }
-    call_record& last = *ended;
-    bury(nullptr, std::move(ended));
-    if (!last.is_cancelled && last.handlers.ended)
-        last.handlers.ended(end);
+    call_record& ended_call = *ended;
+    defer_destruction(nullptr, std::move(ended));
+    if (!ended_call.is_cancelled && ended_call.handlers.ended)
+        ended_call.handlers.ended(end);
 }
 
 void web_client::release(std::uint64_t id) {
@@ -365,38 +365,39 @@
         return;
     std::unique_ptr<connection_record> record = std::move(found->second);
     connections_.erase(found);
-    const auto count = counts_.find(to_string(record->server));
-    if (count != counts_.end() && --count->second == 0)
-        counts_.erase(count);
+    const auto count = connection_counts_.find(to_string(record->server));
+    if (count != connection_counts_.end() && --count->second == 0)
+        connection_counts_.erase(count);
     record->socket.close();
-    bury(std::move(record), nullptr);
+    defer_destruction(std::move(record), nullptr);
 }
 
 /// Keeps what handlers on the stack may still use until they have returned.
-void web_client::bury(std::unique_ptr<connection_record> connection,
-                      std::unique_ptr<call_record> call) {
-    if (dropped_.empty() && ended_.empty())
+void web_client::defer_destruction(
+    std::unique_ptr<connection_record> connection,
+    std::unique_ptr<call_record> call) {
+    if (dropped_connections_.empty() && ended_calls_.empty())
         core_.after(service_name, std::chrono::nanoseconds(0), [this] {
-            dropped_.clear();
-            ended_.clear();
+            dropped_connections_.clear();
+            ended_calls_.clear();
         });
     if (connection)
-        dropped_.push_back(std::move(connection));
+        dropped_connections_.push_back(std::move(connection));
     if (call)
-        ended_.push_back(std::move(call));
+        ended_calls_.push_back(std::move(call));
 }
 
 void web_client::sweep() {
     const instant now = steady::now();
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (auto& [server, ids] : idle_)
         std::erase_if(ids, [&](std::uint64_t id) {
-            const bool is_late = connections_.at(id)->idle_until <= now;
-            if (is_late)
-                late.push_back(id);
-            return is_late;
+            const bool is_expired = connections_.at(id)->idle_until <= now;
+            if (is_expired)
+                expired.push_back(id);
+            return is_expired;
         });
-    for (const std::uint64_t id : late)
+    for (const std::uint64_t id : expired)
         drop(id);
     absl::erase_if(idle_,
                    [](const auto& entry) { return entry.second.empty(); });
--- a/src/http/web_server.cpp
+++ b/src/http/web_server.cpp
@@ -24,7 +24,7 @@
 constexpr milliseconds sweep_interval{250};
 /// Time for a caller to read why it was refused while it still sends.
 constexpr milliseconds refusal_linger{1000};
-constexpr std::string_view continue_answer = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
 } // namespace
 
@@ -67,7 +67,7 @@
     limits_ = limits;
 }
 
-void web_server::end_after_answers() {
+void web_server::close_after_responses() {
     is_draining_ = true;
 }
 
@@ -153,18 +153,18 @@
         return;
     }
     if (!progress.is_complete) {
-        if (record.parser->is_head_complete() && !record.has_asked) {
-            record.has_asked = true;
+        if (record.parser->is_head_complete() && !record.is_expect_checked) {
+            record.is_expect_checked = true;
             const std::string* expectation =
                 find_field(record.parser->request().fields, "Expect");
             if (expectation != nullptr)
-                record.socket.write(continue_answer);
+                record.socket.write(continue_response);
         }
         return;
     }
     http_request request = std::move(record.parser->request());
     record.parser.reset();
-    record.has_asked = false;
+    record.is_expect_checked = false;
     record.is_busy = true;
     record.is_chunked = false;
     record.keep_alive = request.keep_alive && !is_draining_;
@@ -190,7 +190,7 @@
     record.socket.write(encode_response(response, http_framing::length, false));
     // Closed later: a reset, as for bytes that were not read, may reach the
     // caller before the answer does.
-    record.socket.finish_output();
+    record.socket.shutdown_output();
     record.socket.input.clear();
     record.parser.reset();
     record.is_refused = true;
@@ -210,9 +210,9 @@
 
 void web_server::on_drained(std::uint64_t id) {
     const auto found = connections_.find(id);
-    if (found == connections_.end() || !found->second->wants_drain)
+    if (found == connections_.end() || !found->second->awaits_drain)
         return;
-    found->second->wants_drain = false;
+    found->second->awaits_drain = false;
     if (found->second->is_busy && handlers_.drained)
         handlers_.drained(found->second->exchange);
 }
@@ -233,11 +233,11 @@
 
 void web_server::sweep() {
     const instant now = steady::now();
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (const auto& [id, record] : connections_)
         if (!record->is_busy && record->deadline <= now)
-            late.push_back(id);
-    for (const std::uint64_t id : late) {
+            expired.push_back(id);
+    for (const std::uint64_t id : expired) {
         const connection_record& record = *connections_.at(id);
         if (record.parser)
             refuse(id, 408, "request not received in time",
@@ -283,8 +283,8 @@
     if (record == nullptr || data.empty())
         return true;
     record->socket.write(encode_chunk(data));
-    record->wants_drain = record->socket.pending_bytes() > max_unread_bytes;
-    return !record->wants_drain;
+    record->awaits_drain = record->socket.pending_bytes() > max_unread_bytes;
+    return !record->awaits_drain;
 }
 
 void web_server::finish(exchange_id exchange) {
--- a/src/requests/caller_api.cpp
+++ b/src/requests/caller_api.cpp
@@ -113,14 +113,15 @@
     : core_(core), configuration_(configuration), server_(server),
       measures_(measures), needs_(std::move(needs)) {
     add_routes();
-    server_.on_refused(unreadable_response);
-    server_.on_caller([this](exchange_id exchange) { on_abandoned(exchange); },
-                      [this](exchange_id exchange) {
-                          const auto found = by_exchange_.find(
-                              static_cast<std::uint64_t>(exchange));
-                          if (found != by_exchange_.end())
-                              open_.at(found->second).unread_since.reset();
-                      });
+    server_.set_refusal_formatter(unreadable_response);
+    server_.set_stream_handlers(
+        [this](exchange_id exchange) { on_abandoned(exchange); },
+        [this](exchange_id exchange) {
+            const auto found =
+                by_exchange_.find(static_cast<std::uint64_t>(exchange));
+            if (found != by_exchange_.end())
+                open_.at(found->second).unread_since.reset();
+        });
     server_limits limits;
     limits.max_body_bytes = configuration.requests.max_body_bytes;
     server_.web().set_limits(limits);
@@ -128,7 +129,7 @@
 }
 
 void caller_api::add_routes() {
-    server_.route_plain("GET", "/v1/entries", [this](const api_request&) {
+    server_.route_sync("GET", "/v1/entries", [this](const api_request&) {
         return json_response(
             200, {{"entries", needs_.entries()},
                   {"ttl_ms", configuration_.cluster.entry_answer_ttl.count()}});
--- a/tests/support/raw_connection.cpp
+++ b/tests/support/raw_connection.cpp
@@ -39,36 +39,37 @@
     return true;
 }
 
-std::string raw_connection::read_until(std::string_view mark,
-                                       milliseconds patience) {
-    const instant until = steady::now() + patience;
-    std::size_t found = input_.find(mark);
-    while (found == std::string::npos && read_some(until))
-        found = input_.find(mark);
+std::string raw_connection::read_until(std::string_view delimiter,
+                                       milliseconds timeout) {
+    const instant deadline = steady::now() + timeout;
+    std::size_t found = input_.find(delimiter);
+    while (found == std::string::npos && read_some(deadline))
+        found = input_.find(delimiter);
     if (found == std::string::npos)
         return std::exchange(input_, "");
-    std::string out = input_.substr(0, found + mark.size());
+    std::string out = input_.substr(0, found + delimiter.size());
     input_.erase(0, out.size());
     return out;
 }
 
-std::string raw_connection::read_all(milliseconds patience) {
-    const instant until = steady::now() + patience;
-    while (read_some(until))
+std::string raw_connection::read_all(milliseconds timeout) {
+    const instant deadline = steady::now() + timeout;
+    while (read_some(deadline))
         continue;
     return std::exchange(input_, "");
 }
 
-bool raw_connection::await_end(milliseconds patience) {
-    read_all(patience);
+bool raw_connection::await_end(milliseconds timeout) {
+    read_all(timeout);
     return connected_ && ended_;
 }
 
-bool raw_connection::read_some(instant until) {
-    const auto left =
-        std::chrono::ceil<milliseconds>(until - steady::now()).count();
+bool raw_connection::read_some(instant deadline) {
+    const auto left_ms =
+        std::chrono::ceil<milliseconds>(deadline - steady::now()).count();
     pollfd waiting{descriptor_, POLLIN, 0};
-    if (ended_ || left <= 0 || poll(&waiting, 1, static_cast<int>(left)) <= 0)
+    if (ended_ || left_ms <= 0 ||
+        poll(&waiting, 1, static_cast<int>(left_ms)) <= 0)
         return false;
     std::array<char, 16 * 1024> buffer{};
     const ssize_t count = recv(descriptor_, buffer.data(), buffer.size(), 0);
--- a/tests/support/raw_connection.hpp
+++ b/tests/support/raw_connection.hpp
@@ -25,22 +25,22 @@
 
     /// Reads until `mark` was received; returns what came until then, or until
     /// the end of the connection or of the patience.
-    std::string read_until(std::string_view mark,
-                           milliseconds patience = seconds(5));
+    std::string read_until(std::string_view delimiter,
+                           milliseconds timeout = seconds(5));
 
     /// Reads to the end of the connection, or of the patience.
-    std::string read_all(milliseconds patience = seconds(5));
+    std::string read_all(milliseconds timeout = seconds(5));
 
     /// Reads until the peer ends the connection; returns false if it does not
     /// within the patience, or if the connection was never open.
-    [[nodiscard]] bool await_end(milliseconds patience = seconds(10));
+    [[nodiscard]] bool await_end(milliseconds timeout = seconds(10));
 
     /// Returns true once the peer has ended the connection.
     [[nodiscard]] bool has_ended() const noexcept { return ended_; }
 
   private:
     /// Reads some bytes; returns false at the end or when time is up.
-    bool read_some(instant until);
+    bool read_some(instant deadline);
 
     int descriptor_ = -1;
     bool connected_ = false;
--- a/tests/support/scripted_server.cpp
+++ b/tests/support/scripted_server.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 constexpr int poll_ms = 20;
-constexpr std::chrono::milliseconds late_pause{60};
+constexpr std::chrono::milliseconds delayed_bytes_pause{60};
 
 /// Returns true if `text` holds a whole request with a stated length.
-bool is_whole(const std::string& text) {
+bool is_complete_request(const std::string& text) {
     const std::size_t head = text.find("\r\n\r\n");
     if (head == std::string::npos)
         return false;
-    const std::size_t field = text.find("Content-Length: ");
-    if (field == std::string::npos || field > head)
+    const std::size_t length_field = text.find("Content-Length: ");
+    if (length_field == std::string::npos || length_field > head)
         return true;
-    const std::size_t length = std::stoul(text.substr(field + 16));
+    const std::size_t length = std::stoul(text.substr(length_field + 16));
     return text.size() >= head + 4 + length;
 }
 
@@ -80,7 +80,7 @@
         if (count <= 0)
             break;
         input.append(buffer.data(), static_cast<std::size_t>(count));
-        if (!is_whole(input))
+        if (!is_complete_request(input))
             continue;
         const scripted_answer answer = answers_(input);
         input.clear();
@@ -93,10 +93,10 @@
         }
         if (answer.closes)
             break;
-        if (!answer.late_bytes.empty()) {
-            std::this_thread::sleep_for(late_pause);
-            send(descriptor, answer.late_bytes.data(), answer.late_bytes.size(),
-                 MSG_NOSIGNAL);
+        if (!answer.delayed_bytes.empty()) {
+            std::this_thread::sleep_for(delayed_bytes_pause);
+            send(descriptor, answer.delayed_bytes.data(),
+                 answer.delayed_bytes.size(), MSG_NOSIGNAL);
         }
     }
     close(descriptor);
--- a/tests/support/scripted_server.hpp
+++ b/tests/support/scripted_server.hpp
@@ -12,10 +12,10 @@
 
 /// What a `scripted_server` does with one request.
 struct scripted_answer {
-    std::string bytes;        ///< Sent as they are.
-    bool closes = false;      ///< In order, after the bytes.
-    bool resets = false;      ///< Breaks off instead.
-    std::string late_bytes{}; ///< Sent some time after the answer.
+    std::string bytes;           ///< Sent as they are.
+    bool closes = false;         ///< In order, after the bytes.
+    bool resets = false;         ///< Breaks off instead.
+    std::string delayed_bytes{}; ///< Sent some time after the answer.
 };
 
 /// Server on the loopback interface that answers with given bytes.
--- a/tests/web_client.cpp
+++ b/tests/web_client.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 
-constexpr seconds patience{5};
+constexpr seconds wait_timeout{5};
 
-/// Runs the kernel until `done` or the patience has passed.
+/// Runs the kernel until `done` or the timeout has passed.
 void run_until(kernel& core, const std::function<bool()>& done) {
     core.every("test", milliseconds(2), [&core, &done] {
         if (done())
             core.stop();
     });
-    core.after("test", patience, [&core] { core.stop(); });
+    core.after("test", wait_timeout, [&core] { core.stop(); });
     core.run();
 }
 
@@ -62,10 +62,10 @@
     outcome first;
     outcome second;
     fetch(client, server, "one", first);
-    bool has_asked = false;
+    bool has_sent_second = false;
     run_until(core, [&] {
-        if (first.has_ended && !has_asked) {
-            has_asked = true;
+        if (first.has_ended && !has_sent_second) {
+            has_sent_second = true;
             core.after("test", pause,
                        [&] { fetch(client, server, "two", second); });
         }
@@ -141,7 +141,7 @@
         const std::string id = served == 1 ? "one" : "two";
         scripted_answer answer{answer_of(id, id), false};
         if (served == 1)
-            answer.late_bytes = answer_of("", "extra");
+            answer.delayed_bytes = answer_of("", "extra");
         return answer;
     });
     const outcome second = fetch_two(server, milliseconds(150));
@@ -172,7 +172,7 @@
         web_client client(core);
         client.fetch(server.endpoint(), request, {},
                      [&](call_end, const http_response&) { core.stop(); });
-        core.after("test", patience, [&core] { core.stop(); });
+        core.after("test", wait_timeout, [&core] { core.stop(); });
         core.run();
         const std::size_t field = received.find("Host: ");
         REQUIRE(field != std::string::npos);
--- a/tests/web_server.cpp
+++ b/tests/web_server.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr seconds patience{5};
+constexpr seconds wait_timeout{5};
 constexpr const char* get_request = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
 
 /// Server that answers with the target and the body that it read.
@@ -153,14 +153,14 @@
     running_kernel running(echo.core);
     raw_connection caller(echo.local, 4096);
     caller.send(get_request);
-    REQUIRE(eventually(patience, [&] { return echo.requests == 1; }));
+    REQUIRE(eventually(wait_timeout, [&] { return echo.requests == 1; }));
     const std::string part(16 * 1024, 'p');
     std::size_t sent = 0;
-    const bool is_held_back = eventually(patience, [&] {
+    const bool is_paused = eventually(wait_timeout, [&] {
         sent += part.size();
         return !running.ask([&] { return echo.server.write(stream, part); });
     });
-    REQUIRE(is_held_back);
+    REQUIRE(is_paused);
     CHECK(echo.drained == 0);
     std::string received = caller.read_until("200 OK");
     while (echo.drained == 0) {
@@ -184,9 +184,9 @@
     {
         raw_connection caller(echo.local);
         caller.send(get_request);
-        REQUIRE(eventually(patience, [&] { return echo.requests == 1; }));
+        REQUIRE(eventually(wait_timeout, [&] { return echo.requests == 1; }));
     }
-    CHECK(eventually(patience, [&] { return echo.abandoned == 1; }));
+    CHECK(eventually(wait_timeout, [&] { return echo.abandoned == 1; }));
     CHECK(running.ask([&] { return echo.server.exchanges(); }) == 0);
     CHECK(running.ask([&] { return echo.server.connections(); }) == 0);
 }
@@ -198,7 +198,7 @@
     kept.send(get_request);
     kept.read_until("/a:");
     running.ask([&] {
-        echo.server.end_after_answers();
+        echo.server.close_after_responses();
         return true;
     });
     raw_connection late(echo.local);
