--- a/include/ospreystage/http/api_server.hpp
+++ b/include/ospreystage/http/api_server.hpp
@@ -19,74 +19,88 @@
 
 namespace ospreystage {
 
-/// Request to a route of an `api_server`.
+/// Request that an `api_server` dispatches to a route.
 struct api_request {
     http_request message;
-    std::string path;                  ///< The target up to its `?`.
-    std::string query;                 ///< The target after its `?`.
-    std::vector<std::string> captures; ///< Groups of the route's pattern.
+    std::string path;  ///< Request target up to `?`.
+    std::string query; ///< Request target after `?`.
+    std::vector<std::string>
+        captures; ///< Capture groups of the route's pattern.
 };
 
-/// Returns the value of `name` in the query, as it was sent, or nothing.
+/// Returns the value of query parameter `name` without percent-decoding, or an
+/// empty string if it is absent.
 [[nodiscard]] std::string query_value(const api_request& request,
                                       std::string_view name);
 
-/// Returns the value of a field, or nothing.
+/// Returns the value of the first header field `name`, or an empty string if
+/// it is absent.
 [[nodiscard]] std::string field_value(const api_request& request,
                                       std::string_view name);
 
-/// Makes an answer whose body is `body` as JSON.
+/// Returns a response that carries `body` as `application/json`.
 [[nodiscard]] http_response json_response(std::uint16_t status,
                                           const nlohmann::json& body);
 
-/// Returns the token of `Authorization: Bearer …`, or nothing.
+/// Returns the token of `Authorization: Bearer <token>`, or an empty string if
+/// the request has none.
 [[nodiscard]] std::string bearer_token(const api_request& request);
 
-/// Returns true if the request carries `Authorization: Bearer token`.
+/// Returns true if the bearer token of the request equals `token`. Compares in
+/// constant time; an empty `token` matches no request.
 [[nodiscard]] bool has_token(const api_request& request,
                              const std::string& token);
 
-/// HTTP interface of a process: routes over a `web_server`.
+/// HTTP interface of a process: dispatches the requests of a `web_server` to
+/// routes by method and path.
 ///
-/// Routes run on the kernel's thread. A route whose work blocks, on a disk or
-/// on another server, runs on one of a few threads of its own.
+/// Handlers run on the kernel's thread. Handlers that block, on a disk or on
+/// another server, run on a thread pool (`route_blocking`).
 class api_server {
   public:
+    /// Responds through `web`, at once or later.
     using handler = std::function<void(exchange_id, api_request)>;
+    /// Returns the response.
     using sync_handler = std::function<http_response(const api_request&)>;
 
     // ---- Construction ------------------------------------------------------
 
-    /// `blocking_threads` carry out the blocking routes.
+    /// `blocking_threads` is the number of threads that run blocking routes.
     api_server(kernel& core, std::uint32_t blocking_threads);
 
-    /// Adds a route whose answer is sent through `web`, at any later time.
+    /// Adds a route whose handler responds through `web`, at once or later.
     void route(const std::string& method, const std::string& path,
                handler handle);
 
-    /// Adds such a route for all paths that match a regular expression.
+    /// Adds such a route for every path that matches a regular expression as a
+    /// whole. Exact paths take precedence; then patterns in the order added.
     void route_pattern(const std::string& method, const std::string& pattern,
                        handler handle);
 
-    /// Adds a route that answers at once, on the kernel's thread.
+    /// Adds a route whose handler returns the response, on the kernel's thread.
     void route_sync(const std::string& method, const std::string& path,
                     sync_handler handle);
 
-    /// Adds a route that blocks, for all paths that match a pattern.
+    /// Adds a route whose handler may block, for every path that matches a
+    /// regular expression. The handler runs on the thread pool; an exception
+    /// is logged and answered with status 500.
     void route_blocking(const std::string& method, const std::string& pattern,
                         sync_handler handle);
 
-    /// Calls `abandoned` when a caller goes away before its answer is whole,
-    /// and `drained` when it has read what `web_server::write` held back.
+    /// Sets the handlers for responses in progress: `abandoned` is called when
+    /// the caller disconnects before its response is complete, `drained` when
+    /// the output has been sent after `web_server::write` returned false.
     void set_stream_handlers(std::function<void(exchange_id)> abandoned,
                              std::function<void(exchange_id)> drained);
 
-    /// Sets how requests that cannot be read are answered.
+    /// Sets the function that formats responses to requests that cannot be
+    /// parsed or are not received in time. Default: JSON with `error`.
     void set_refusal_formatter(web_server::refusal_formatter describe);
 
     // ---- Service -----------------------------------------------------------
 
-    /// Answers to requests; `begin`, `write` and `finish` for streams.
+    /// Returns the server through which handlers respond; `begin`, `write` and
+    /// `finish` send a streamed response.
     [[nodiscard]] web_server& web() noexcept { return web_; }
 
     [[nodiscard]] nlohmann::json dump() const { return web_.dump(); }
@@ -102,7 +116,8 @@
     [[nodiscard]] handler run_on_pool(sync_handler handle);
 
     kernel& core_;
-    absl::flat_hash_map<std::string, handler> routes_; ///< By method and path.
+    absl::flat_hash_map<std::string, handler>
+        routes_; ///< Key: method and path.
     std::vector<pattern_route> patterns_;
     std::function<void(exchange_id)> abandoned_;
     std::function<void(exchange_id)> drained_;
--- a/include/ospreystage/http/stream_socket.hpp
+++ b/include/ospreystage/http/stream_socket.hpp
@@ -12,21 +12,22 @@
 
 namespace ospreystage {
 
-/// Non-blocking TCP socket with buffers, on the kernel's thread.
+/// Non-blocking TCP socket with input and output buffers, on the kernel's
+/// thread.
 ///
-/// The owner drops the socket from within a handler only by `close`.
+/// From within a handler, the owner may discard the socket only by `close`.
 class stream_socket {
   public:
-    /// How a peer ended the connection.
+    /// How the connection ended.
     enum class end_kind {
-        closed, ///< In order: everything sent has arrived.
-        reset,  ///< Broken off, or it could not be opened.
+        closed, ///< Orderly close: all bytes sent were received.
+        reset,  ///< Connection reset, or not established.
     };
     struct handlers {
         std::function<void()> connected;
         std::function<void()> readable; ///< New bytes in `input`.
         std::function<void(end_kind)> ended;
-        std::function<void()> drained; ///< All output was handed over.
+        std::function<void()> drained; ///< All output was passed to the system.
     };
 
     explicit stream_socket(kernel& core);
@@ -36,31 +37,37 @@
 
     void set_handlers(handlers callbacks);
 
-    /// Takes over an accepted descriptor, with the options of its listener.
+    /// Takes ownership of an accepted descriptor, which has inherited the
+    /// options of its listener.
     void adopt(int descriptor);
 
-    /// Starts to connect; `connected` or `ended` follows, never at once.
+    /// Starts to connect; calls `connected` or `ended` later, never from within
+    /// this call.
     void connect(const address& remote);
 
-    /// Queues bytes; they are sent at the end of the kernel's turn, so that
-    /// what belongs together takes one call, or at once if they are many.
+    /// Queues bytes. They are sent at the end of the kernel's turn, so that
+    /// consecutive writes take one system call, or at once if more than 16 KiB
+    /// are pending.
     void write(std::string_view bytes);
 
-    /// Stops or goes on reading, to slow down the peer.
+    /// Pauses or resumes reading, to apply back-pressure to the peer.
     void set_reading(bool enabled);
 
-    /// Closes the descriptor; no handler is called afterwards.
+    /// Closes the descriptor after sending the pending output that the system
+    /// accepts without blocking; no handler is called afterwards.
     void close();
 
-    /// Closes once the queued output was handed over; reads no more.
+    /// Stops reading, and closes once the queued output was passed to the
+    /// system.
     void close_after_output();
 
-    /// Tells the peer that no more output follows, once the queued output was
-    /// handed over; still reads.
+    /// Shuts down the sending side once the queued output was passed to the
+    /// system; still reads.
     void shutdown_output();
 
     [[nodiscard]] bool is_open() const noexcept { return descriptor_ >= 0; }
     [[nodiscard]] bool is_connected() const noexcept { return connected_; }
+    /// Bytes queued and not yet passed to the system.
     [[nodiscard]] std::size_t pending_bytes() const noexcept {
         return output_.size() - written_;
     }
@@ -74,13 +81,15 @@
     void read_all();
     void flush();
     void flush_at_turn_end();
-    /// Sends what the system takes; returns false if the peer is gone.
+    /// Sends as much pending output as the system accepts; returns false if
+    /// the connection is broken.
     bool send_pending();
     void end(end_kind kind);
     [[nodiscard]] std::uint32_t requested_events() const noexcept;
 
     kernel& core_;
-    /// Expires with this object; handlers may destroy their own socket.
+    /// Lifetime token: expires with this object, since handlers may destroy
+    /// their own socket.
     std::shared_ptr<int> alive_ = std::make_shared<int>();
     handlers handlers_;
     std::string output_;
@@ -90,7 +99,7 @@
     bool connected_ = false;
     bool reading_ = true;
     bool closing_ = false;
-    bool is_flush_scheduled_ = false; ///< Waits for the end of the turn.
+    bool is_flush_scheduled_ = false; ///< At the end of the turn.
     bool shutdown_after_output_ = false;
 };
 
--- a/include/ospreystage/http/web_client.hpp
+++ b/include/ospreystage/http/web_client.hpp
@@ -19,43 +19,45 @@
 
 namespace ospreystage {
 
-/// Addresses a call of a `web_client`.
+/// Identifies a call of a `web_client`.
 enum class call_id : std::uint64_t {};
 
 /// How a call ended.
 enum class call_end : std::uint8_t {
-    complete,      ///< The response is whole.
-    not_connected, ///< Nothing was sent: the server cannot have acted.
-    no_answer,     ///< The connection ended before the head of a response.
+    complete,      ///< The response is complete.
+    not_connected, ///< Nothing was sent: the server did not act.
+    no_answer,     ///< The connection ended before the response head.
     truncated,     ///< The connection ended within the response.
-    malformed,     ///< The server sent bytes that are no response.
-    timeout,       ///< The time for the call has passed.
+    malformed,     ///< The server did not send a valid response.
+    timeout,       ///< `call_options::timeout` passed.
 };
 
-/// Returns the name of an end as it appears in logs.
+/// Returns the name of a `call_end` for logs.
 [[nodiscard]] const char* to_string(call_end end) noexcept;
 
-/// How a call is made.
+/// Time limits and connection use of a call.
 struct call_options {
     milliseconds connect_timeout{400}; ///< Until the connection is open.
-    milliseconds timeout{10'000};      ///< Until the response is whole.
-    /// Field that every response repeats from its request; a response with
-    /// another value belongs to an earlier request and is dropped.
+    milliseconds timeout{10'000};      ///< Until the response is complete.
+    /// Header field that responses echo from their request; a response with
+    /// another value belongs to an earlier request and is discarded. Empty: no
+    /// check.
     std::string echoed_field;
-    bool reuse = true; ///< May use a connection that was kept open.
+    bool reuse = true; ///< May use an idle connection.
 };
 
-/// What a call tells its owner; `ended` is the last call.
+/// Callbacks of a call; `ended` is called last.
 struct call_handlers {
     std::function<void(const http_response&)> head;
     std::function<void(std::string_view)> body;
     std::function<void(call_end)> ended;
 };
 
-/// Event-driven HTTP/1.1 client with kept connections, on the kernel's thread.
+/// Event-driven HTTP/1.1 client with a pool of persistent connections, on the
+/// kernel's thread.
 ///
-/// A connection carries one request at a time and is kept only after a
-/// response that ended exactly where it should.
+/// A connection carries one request at a time. It returns to the pool only
+/// after a complete response that no further bytes follow.
 class web_client {
   public:
     explicit web_client(kernel& core);
@@ -63,27 +65,31 @@
     web_client(const web_client&) = delete;
     web_client& operator=(const web_client&) = delete;
 
-    /// Starts a call; the handlers are never called from within.
+    /// Starts a call; the handlers are never called from within `start`.
     call_id start(const address& server, const http_request& request,
                   const call_options& options, call_handlers handlers);
 
-    /// Starts a call and hands over the whole response, or how it failed.
+    /// Starts a call that collects the response; `done` receives how the call
+    /// ended, and the response as far as it was received.
     call_id fetch(const address& server, const http_request& request,
                   const call_options& options,
                   std::function<void(call_end, http_response)> done);
 
-    /// Breaks off a call; its handlers are not called any more.
+    /// Cancels a call and closes its connection; its handlers are not called
+    /// afterwards.
     void cancel(call_id call);
 
-    /// Stops or goes on reading the response.
+    /// Pauses or resumes reading the response.
     void set_reading(call_id call, bool enabled);
 
-    /// Returns true if a call to `server` needs no more than `limit`
-    /// connections; 0: no limit.
+    /// Returns true if a call to `server` can start with at most `limit`
+    /// connections open: an idle one is available, or fewer than `limit` are
+    /// open. 0: no limit.
     [[nodiscard]] bool has_free_connection(const address& server,
                                            std::size_t limit) const;
 
-    /// Open connections to `server`, idle ones included.
+    /// Returns the number of connections to `server`, including idle ones and
+    /// those being established.
     [[nodiscard]] std::size_t connections(const address& server) const;
 
   private:
@@ -93,8 +99,8 @@
         address server;
         std::optional<call_id> call;
         std::unique_ptr<response_parser> parser;
-        bool is_discarding = false; ///< The response is of another request.
-        milliseconds max_idle{};
+        bool is_discarding = false; ///< The response is to another request.
+        milliseconds max_idle{};    ///< For which the connection is reused.
         instant idle_until{};
     };
     struct call_record {
--- a/include/ospreystage/http/web_server.hpp
+++ b/include/ospreystage/http/web_server.hpp
@@ -20,27 +20,29 @@
 
 namespace ospreystage {
 
-/// Addresses a request that a `web_server` has read and not yet answered.
+/// Identifies a request that a `web_server` has received and not yet answered.
 enum class exchange_id : std::uint64_t {};
 
 /// Event-driven HTTP/1.1 server on the kernel's thread.
 ///
-/// Requests of one connection are handled one after the other. Every request
-/// is handed to `requested` once; it is answered by `respond`, or by `begin`,
+/// Requests of one connection are handled one at a time, in order. Each is
+/// passed to `requested` once; the owner responds by `respond`, or by `begin`,
 /// any number of `write` and then `finish` or `abort`.
 class web_server {
   public:
-    /// Makes the answer to a request that cannot be read, from the status, the
-    /// reason and the target as far as it was read.
+    /// Returns the response to a request that cannot be parsed or is not
+    /// received in time. Arguments: status, reason, and the request target, or
+    /// `/` if it was not parsed.
     using refusal_formatter = std::function<http_response(
         std::uint16_t, const std::string&, const std::string&)>;
     struct callbacks {
         std::function<void(exchange_id, http_request)> requested;
-        /// The caller closed the connection before the answer was whole.
+        /// The caller disconnected before the response was complete.
         std::function<void(exchange_id)> abandoned;
-        /// All output was handed over after `write` had returned false.
+        /// All output was passed to the system after `write` had returned
+        /// false.
         std::function<void(exchange_id)> drained;
-        /// Describes a refusal to the caller; absent: in plain text.
+        /// Formats refusals; if absent, the reason is sent as plain text.
         refusal_formatter describe_refusal = nullptr;
     };
 
@@ -51,47 +53,50 @@
     web_server(const web_server&) = delete;
     web_server& operator=(const web_server&) = delete;
 
-    /// Listens; an address in use is an error.
+    /// Listens on `local`; returns an error if the address is in use.
     [[nodiscard]] leaf::result<void> listen(const address& local);
 
     // ---- Observers ---------------------------------------------------------
 
     [[nodiscard]] bool is_listening() const noexcept { return listener_ >= 0; }
     [[nodiscard]] std::size_t connections() const noexcept;
-    /// Requests that were read and are not yet answered whole.
+    /// Returns the number of requests whose response is not yet complete.
     [[nodiscard]] std::size_t exchanges() const noexcept;
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Applies to connections from now on.
+    /// Sets the limits that apply from now on; deadlines already set stay.
     void set_limits(const server_limits& limits);
 
-    /// Ends every connection after its next answer; still takes new ones.
+    /// Closes every connection after its next response; still accepts new ones.
     void close_after_responses();
 
-    /// Takes no new connections but those that are waiting already.
+    /// Stops listening, after accepting the connections in the backlog; every
+    /// connection is closed after its next response.
     void stop_listening();
 
-    /// Takes no new connections, ends idle ones at once and others after their
-    /// answer.
+    /// Stops listening, closes idle connections at once and the others after
+    /// their response.
     void drain();
 
-    // ---- Answers -----------------------------------------------------------
+    // ---- Responses ---------------------------------------------------------
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     void respond(exchange_id exchange, const http_response& response);
 
-    /// Starts an answer whose body follows in parts.
+    /// Sends the head of a response whose body follows in chunks.
     void begin(exchange_id exchange, const http_response& head);
 
-    /// Sends a part of the body; returns false if the caller reads too slowly.
+    /// Sends a chunk of the body. Returns false if more than 64 KiB of output
+    /// are pending; `drained` is called once they are sent.
     bool write(exchange_id exchange, std::string_view data);
 
-    /// Ends an answer that was begun.
+    /// Completes a response that `begin` started.
     void finish(exchange_id exchange);
 
-    /// Closes the connection, so that the answer cannot look whole.
+    /// Closes the connection before the last chunk, so that the caller detects
+    /// a truncated response.
     void abort(exchange_id exchange);
 
   private:
@@ -100,13 +105,15 @@
         stream_socket socket;
         std::unique_ptr<request_parser> parser;
         exchange_id exchange{};
-        bool is_busy = false;    ///< A request is being answered.
-        bool is_chunked = false; ///< Its answer is sent in parts.
+        bool is_busy = false;    ///< A request is in progress.
+        bool is_chunked = false; ///< Its response is chunked.
         bool keep_alive = true;
-        bool is_expect_checked = false; ///< Was told to continue with the body.
-        bool awaits_drain = false;
-        bool is_refused = false; ///< Waits for the caller to read why.
-        instant deadline{};      ///< For the next request, or the rest of one.
+        bool is_expect_checked =
+            false; ///< `Expect` was looked up, once per request.
+        bool awaits_drain = false; ///< `write` returned false.
+        bool is_refused =
+            false;          ///< Open until the caller has read the refusal.
+        instant deadline{}; ///< For the next request, or the rest of it.
     };
 
     void accept_all();
--- a/src/http/api_server.cpp
+++ b/src/http/api_server.cpp
@@ -20,7 +20,8 @@
     return method + " " + path;
 }
 
-/// Carries out a blocking route; one that fails must not end the process.
+/// Runs the handler of a blocking route. Responds with status 500 to an
+/// exception, which would otherwise end the process.
 http_response run_blocking_route(const api_server::sync_handler& handle,
                                  const api_request& request) {
     try {
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Fields that describe the connection or the framing of one message.
+/// Fields that apply to one connection or to the framing of one message.
 constexpr std::array<std::string_view, 8> hop_fields{
     "Connection", "Keep-Alive", "Proxy-Connection",  "TE",
     "Trailer",    "Upgrade",    "Transfer-Encoding", "Content-Length"};
--- a/src/http/message_parser.cpp
+++ b/src/http/message_parser.cpp
@@ -12,14 +12,15 @@
 namespace beast_http = boost::beast::http;
 using boost::system::error_code;
 
-/// Bytes of a response's head; the platform's own limit for requests.
+/// Limit on the size of a response head, equal to the platform's limit on that
+/// of a request.
 constexpr std::uint32_t max_response_header_bytes = 64 * 1024;
 
 std::string to_text(boost::beast::string_view text) {
     return {text.data(), text.size()};
 }
 
-/// Collects what both kinds of message share.
+/// Callbacks that requests and responses share.
 template <bool IsRequest>
 class parser_base : public beast_http::basic_parser<IsRequest> {
   public:
--- a/src/http/stream_socket.cpp
+++ b/src/http/stream_socket.cpp
@@ -17,9 +17,10 @@
 namespace {
 
 constexpr std::size_t read_bytes = 16 * 1024;
-/// Reads of one wake-up, so that one fast peer does not starve the others.
+/// Reads per readiness event, so that a fast peer does not starve the others.
 constexpr int max_reads_per_event = 8;
-/// Output that waits for the end of a turn at most: one read of a peer.
+/// Output that may wait for the end of a turn; more is sent at once. Equals the
+/// size of one read.
 constexpr std::size_t max_deferred_bytes = 16 * 1024;
 
 bool would_block() noexcept {
@@ -224,7 +225,8 @@
     const std::weak_ptr<int> alive = alive_;
     const bool had_output = pending_bytes() > 0;
     if (!send_pending()) {
-        // The reader sees what the peer still sent, and then the end.
+        // Input that the peer sent before is still read; reading then reports
+        // the end of the connection.
         output_.clear();
         written_ = 0;
         if (closing_)
--- a/src/http/web_client.cpp
+++ b/src/http/web_client.cpp
@@ -11,16 +11,18 @@
 namespace {
 
 constexpr const char* service_name = "web_client";
-/// A server that states no time may close an idle connection early.
+/// Used if the server announces no idle timeout: it may then close an idle
+/// connection early.
 constexpr milliseconds default_max_idle{1000};
-/// Part of a stated idle time after which a connection is not used again: a
-/// request must not cross the server's close.
+/// Fraction of the announced idle timeout for which a connection is reused, so
+/// that a request does not race with the close by the server.
 constexpr double usable_idle_fraction = 0.5;
 constexpr milliseconds sweep_interval{250};
 /// Lower statuses are informational: the response itself follows.
 constexpr std::uint16_t first_final_status = 200;
 
-/// Returns how long the connection may be idle, from `Keep-Alive: timeout=N`.
+/// Returns how long the connection may be idle and still be reused, from
+/// `Keep-Alive: timeout=N` (seconds).
 milliseconds keep_alive_timeout(const http_response& response) {
     const std::string* value = find_field(response.fields, "Keep-Alive");
     if (value == nullptr)
@@ -205,7 +207,7 @@
             if (found == connections_.end() || found->second->is_discarding)
                 return;
             deliver_head(id);
-            // The owner may have cancelled on the head.
+            // The head handler may have cancelled the call.
             const auto current = connections_.find(id);
             if (current == connections_.end() ||
                 current->second->is_discarding || !current->second->call)
@@ -217,7 +219,8 @@
         });
 }
 
-/// Hands over the head once, or finds that the response is a stray one.
+/// Passes the head to its handler, once. Marks a response whose echoed field
+/// does not match the request to be discarded.
 void web_client::deliver_head(std::uint64_t id) {
     connection_record& record = *connections_.at(id);
     if (!record.call || record.is_discarding ||
@@ -238,7 +241,7 @@
         return;
     }
     if (call.handlers.head) {
-        // Moved out: the head is handed over once.
+        // Moved out, so that the head is delivered once.
         const auto head = std::move(call.handlers.head);
         call.handlers.head = nullptr;
         head(response);
@@ -250,7 +253,8 @@
     if (found == connections_.end())
         return;
     if (!found->second->call) {
-        // Bytes that answer nothing: the connection is not in step any more.
+        // Bytes without a request: the connection is out of sync and cannot be
+        // reused.
         std::erase(idle_[to_string(found->second->server)], id);
         drop(id);
         return;
@@ -330,8 +334,8 @@
     if (ended->connect_timer)
         core_.cancel(*ended->connect_timer);
     record.call.reset();
-    // Output that is left means that the server answered before it had read
-    // the request; bytes after the response belong to nothing.
+    // Pending output means that the server responded before it had read the
+    // request; unread input after the response belongs to no request.
     const bool is_reusable =
         end == call_end::complete && record.socket.is_open() &&
         record.socket.input.empty() && record.socket.pending_bytes() == 0 &&
@@ -372,7 +376,8 @@
     defer_destruction(std::move(record), nullptr);
 }
 
-/// Keeps what handlers on the stack may still use until they have returned.
+/// Keeps a connection or a call, which handlers on the stack may still use,
+/// until they have returned.
 void web_client::defer_destruction(
     std::unique_ptr<connection_record> connection,
     std::unique_ptr<call_record> call) {
--- a/src/http/web_server.cpp
+++ b/src/http/web_server.cpp
@@ -18,11 +18,11 @@
 
 constexpr const char* service_name = "web_server";
 constexpr int listen_backlog = 1024;
-/// Output that a caller may leave unread before its answer is paused.
+/// Pending output of a caller beyond which its response is paused.
 constexpr std::size_t max_unread_bytes = 64 * 1024;
-/// Interval between two looks for connections whose time has passed.
+/// Interval between two checks for connections past their deadline.
 constexpr milliseconds sweep_interval{250};
-/// Time for a caller to read why it was refused while it still sends.
+/// Time for a caller that is still sending to read the refusal.
 constexpr milliseconds refusal_linger{1000};
 constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -130,7 +130,7 @@
         parse(id);
         return;
     }
-    // A caller that sends requests ahead waits until they are handled.
+    // Pipelined requests wait; reading stops when they exceed the limit.
     if (record.socket.input.size() > limits_.max_header_bytes)
         record.socket.set_reading(false);
 }
@@ -188,8 +188,8 @@
     }
     response.status = status;
     record.socket.write(encode_response(response, http_framing::length, false));
-    // Closed later: a reset, as for bytes that were not read, may reach the
-    // caller before the answer does.
+    // The connection is closed later: closing it with unread input sends a
+    // reset, which may discard the response before the caller has read it.
     record.socket.shutdown_output();
     record.socket.input.clear();
     record.parser.reset();
@@ -247,7 +247,7 @@
     }
 }
 
-// ---- Answers ---------------------------------------------------------------
+// ---- Responses -------------------------------------------------------------
 
 web_server::connection_record* web_server::find(exchange_id exchange) {
     const auto found = exchanges_.find(static_cast<std::uint64_t>(exchange));
@@ -318,8 +318,8 @@
     record.socket.set_reading(true);
     if (record.socket.input.empty())
         return;
-    // Later, so that a caller's next request is not handled from within the
-    // answer to its last one.
+    // Deferred, so that the next pipelined request is not handled from within
+    // the response to the previous one.
     core_.after(service_name, std::chrono::nanoseconds(0), [this, id] {
         const auto found = connections_.find(id);
         if (found != connections_.end() && !found->second->is_busy)
--- a/tests/support/http_stream.hpp
+++ b/tests/support/http_stream.hpp
@@ -16,29 +16,30 @@
 
 namespace ospreystage::support {
 
-/// A POST request whose answer arrives line by line on a thread of its own.
+/// POST request whose response is read line by line on a separate thread.
 class http_stream {
   public:
     http_stream(const std::string& url, const std::string& path,
                 const nlohmann::json& body);
 
-    /// Closes the connection and ends the thread.
+    /// Closes the connection and joins the thread.
     ~http_stream();
     http_stream(const http_stream&) = delete;
     http_stream& operator=(const http_stream&) = delete;
 
-    /// Returns the lines that are not empty once there are `count` of them,
-    /// or what came before the end or `timeout`.
+    /// Waits for `count` non-empty lines; returns all lines received, which are
+    /// fewer if the response ends or `timeout` passes first.
     [[nodiscard]] std::vector<std::string> await_lines(std::size_t count,
                                                        milliseconds timeout);
 
-    /// Waits for the end; returns false if `timeout` passes first.
+    /// Waits for the end of the response; returns false if `timeout` passes
+    /// first.
     [[nodiscard]] bool await_end(milliseconds timeout);
 
-    /// Returns true if the answer ended in order (after `await_end`).
+    /// Returns true if the response is complete; valid after `await_end`.
     [[nodiscard]] bool complete();
 
-    /// Closes the connection from this side.
+    /// Closes the connection from the client side.
     void stop();
 
   private:
--- a/tests/support/raw_connection.hpp
+++ b/tests/support/raw_connection.hpp
@@ -8,10 +8,10 @@
 
 namespace ospreystage::testing {
 
-/// Blocking connection that sends and receives bytes as they are.
+/// Blocking TCP connection that sends and receives raw bytes.
 class raw_connection {
   public:
-    /// `receive_buffer_bytes` of 0 keeps the system's size.
+    /// `receive_buffer_bytes` of 0 keeps the default of the system.
     explicit raw_connection(const address& server,
                             int receive_buffer_bytes = 0);
     ~raw_connection();
@@ -20,26 +20,28 @@
 
     [[nodiscard]] bool is_open() const noexcept { return connected_; }
 
-    /// Sends all bytes; returns false if the peer is gone.
+    /// Sends all bytes; returns false if the connection is broken.
     bool send(std::string_view bytes);
 
-    /// Reads until `mark` was received; returns what came until then, or until
-    /// the end of the connection or of the patience.
+    /// Returns the bytes received up to and including `delimiter`, or all bytes
+    /// if the connection ends or `timeout` passes first.
     std::string read_until(std::string_view delimiter,
                            milliseconds timeout = seconds(5));
 
-    /// Reads to the end of the connection, or of the patience.
+    /// Returns the bytes received until the connection ends or `timeout`
+    /// passes.
     std::string read_all(milliseconds timeout = seconds(5));
 
-    /// Reads until the peer ends the connection; returns false if it does not
-    /// within the patience, or if the connection was never open.
+    /// Reads until the peer ends the connection; returns false if `timeout`
+    /// passes first, or if the connection was never open.
     [[nodiscard]] bool await_end(milliseconds timeout = seconds(10));
 
     /// Returns true once the peer has ended the connection.
     [[nodiscard]] bool has_ended() const noexcept { return ended_; }
 
   private:
-    /// Reads some bytes; returns false at the end or when time is up.
+    /// Reads available bytes; returns false at the end of the connection or
+    /// once `deadline` has passed.
     bool read_some(instant deadline);
 
     int descriptor_ = -1;
--- a/tests/support/scripted_server.cpp
+++ b/tests/support/scripted_server.cpp
@@ -17,7 +17,8 @@
 constexpr int poll_ms = 20;
 constexpr std::chrono::milliseconds delayed_bytes_pause{60};
 
-/// Returns true if `text` holds a whole request with a stated length.
+/// Returns true if `text` holds a complete request: the head, and the body of
+/// `Content-Length` bytes if that field is present.
 bool is_complete_request(const std::string& text) {
     const std::size_t head = text.find("\r\n\r\n");
     if (head == std::string::npos)
--- a/tests/support/scripted_server.hpp
+++ b/tests/support/scripted_server.hpp
@@ -10,17 +10,18 @@
 
 namespace ospreystage::testing {
 
-/// What a `scripted_server` does with one request.
+/// Response of a `scripted_server` to one request.
 struct scripted_answer {
-    std::string bytes;           ///< Sent as they are.
-    bool closes = false;         ///< In order, after the bytes.
-    bool resets = false;         ///< Breaks off instead.
-    std::string delayed_bytes{}; ///< Sent some time after the answer.
+    std::string bytes;           ///< Sent unchanged.
+    bool closes = false;         ///< Closes in order after `bytes`.
+    bool resets = false;         ///< Resets the connection after `bytes`.
+    std::string delayed_bytes{}; ///< Sent 60 ms after `bytes`.
 };
 
-/// Server on the loopback interface that answers with given bytes.
+/// Server on the loopback interface that responds with the bytes of a script.
 ///
-/// Serves one connection at a time, each request with the next answer.
+/// Serves each connection on a thread of its own and calls the script for each
+/// request.
 class scripted_server {
   public:
     using script = std::function<scripted_answer(const std::string& request)>;
@@ -31,7 +32,7 @@
     scripted_server& operator=(const scripted_server&) = delete;
 
     [[nodiscard]] address endpoint() const { return {"127.0.0.1", port_}; }
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     [[nodiscard]] int connections() const noexcept { return connections_; }
 
   private:
--- a/tests/web_client.cpp
+++ b/tests/web_client.cpp
@@ -15,7 +15,7 @@
 
 constexpr seconds wait_timeout{5};
 
-/// Runs the kernel until `done` or the timeout has passed.
+/// Runs the kernel until `done` returns true, at most for `wait_timeout`.
 void run_until(kernel& core, const std::function<bool()>& done) {
     core.every("test", milliseconds(2), [&core, &done] {
         if (done())
@@ -55,7 +55,8 @@
            body;
 }
 
-/// Sends "one", and some time after its end "two"; returns how that ended.
+/// Sends request "one" and, `pause` after its end, request "two"; returns the
+/// outcome of "two".
 outcome fetch_two(const scripted_server& server, milliseconds pause) {
     kernel core;
     web_client client(core);
@@ -87,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("web client - hands over a whole response") {
+TEST_CASE("web client - delivers a complete response") {
     const outcome result = fetch_once({answer_of("one", "hello"), false});
     CHECK(result.end == call_end::complete);
     CHECK(result.response.body == "hello");
@@ -99,35 +100,37 @@
     CHECK(result.response.body == "whole");
 }
 
-TEST_CASE("web client - a reset response without length is not whole") {
+TEST_CASE("web client - a reset response without length is incomplete") {
     const outcome result =
         fetch_once({"HTTP/1.1 200 OK\r\n\r\npart", false, true});
     CHECK(result.end != call_end::complete);
 }
 
-TEST_CASE("web client - a response that ends early is cut") {
+TEST_CASE("web client - a response that ends early is truncated") {
     const outcome result =
         fetch_once({"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart", true});
     CHECK(result.end == call_end::truncated);
 }
 
-TEST_CASE("web client - a chunked response without its end is cut") {
+TEST_CASE(
+    "web client - a chunked response without its last chunk is truncated") {
     const outcome result = fetch_once(
         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
          true});
     CHECK(result.end == call_end::truncated);
 }
 
-TEST_CASE("web client - bytes that are no response are malformed") {
+TEST_CASE("web client - bytes that are not a response are malformed") {
     CHECK(fetch_once({"hello there\r\n\r\n", false}).end ==
           call_end::malformed);
 }
 
-TEST_CASE("web client - a connection that ends before an answer") {
+TEST_CASE(
+    "web client - a connection that ends before a response gives no answer") {
     CHECK(fetch_once({"", true}).end == call_end::no_answer);
 }
 
-TEST_CASE("web client - a response of another request is dropped") {
+TEST_CASE("web client - a response to another request is discarded") {
     const outcome result = fetch_once(
         {answer_of("other", "wrong") + answer_of("one", "right"), false});
     CHECK(result.end == call_end::complete);
@@ -151,7 +154,7 @@
     CHECK(server.connections() == 2);
 }
 
-TEST_CASE("web client - keeps a connection that is in step") {
+TEST_CASE("web client - reuses a connection after a complete response") {
     scripted_server server([&](const std::string& request) {
         const bool is_first = request.find("one") != std::string::npos;
         return scripted_answer{answer_of(is_first ? "one" : "two", "x"), false};
@@ -161,7 +164,7 @@
     CHECK(server.connections() == 1);
 }
 
-TEST_CASE("web client - names the server unless the request does") {
+TEST_CASE("web client - adds the Host field unless the request has one") {
     std::string received;
     scripted_server server([&](const std::string& request) {
         received = request;
@@ -183,7 +186,7 @@
     CHECK(host_of(make_request("one")) == "Host: a");
 }
 
-TEST_CASE("web client - a silent server ends the call at its timeout") {
+TEST_CASE("web client - a call to a silent server ends at its timeout") {
     scripted_server server(
         [](const std::string&) { return scripted_answer{}; });
     kernel core;
@@ -195,7 +198,7 @@
     CHECK(result.end == call_end::timeout);
 }
 
-TEST_CASE("web client - nothing was sent where nobody listens") {
+TEST_CASE("web client - a refused connection ends as not connected") {
     address closed;
     {
         const scripted_server server(
@@ -214,7 +217,7 @@
     CHECK(result.end == call_end::not_connected);
 }
 
-TEST_CASE("web client - a cancelled call says nothing more") {
+TEST_CASE("web client - a cancelled call invokes no handler") {
     scripted_server server([](const std::string&) {
         return scripted_answer{answer_of("one", "x"), false};
     });
@@ -234,7 +237,7 @@
     CHECK_FALSE(result.has_ended);
 }
 
-TEST_CASE("web client - a full server has room for idle connections only") {
+TEST_CASE("web client - at the limit, only an idle connection is free") {
     scripted_server server([](const std::string&) {
         return scripted_answer{answer_of("one", "x"), false};
     });
--- a/tests/web_server.cpp
+++ b/tests/web_server.cpp
@@ -25,7 +25,7 @@
 constexpr seconds wait_timeout{5};
 constexpr const char* get_request = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Server that answers with the target and the body that it read.
+/// Server that responds with the target and the body of each request.
 class echo_server {
   public:
     explicit echo_server(const server_limits& limits = {})
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("web server - requests sent ahead are answered in their order") {
+TEST_CASE("web server - pipelined requests are answered in order") {
     echo_server echo;
     const running_kernel running(echo.core);
     raw_connection caller(echo.local);
@@ -79,7 +79,7 @@
     CHECK(contains(caller.read_until("/3:"), "200 OK"));
 }
 
-TEST_CASE("web server - a request that arrives byte by byte is read") {
+TEST_CASE("web server - a request that arrives byte by byte is parsed") {
     echo_server echo;
     const running_kernel running(echo.core);
     raw_connection caller(echo.local);
@@ -88,7 +88,7 @@
     CHECK(contains(caller.read_until("/a:"), "200 OK"));
 }
 
-TEST_CASE("web server - malformed and too large requests get a clear status") {
+TEST_CASE("web server - malformed and oversized requests get 400, 413 or 431") {
     echo_server echo({.max_header_bytes = 1024, .max_body_bytes = 100});
     const running_kernel running(echo.core);
     const std::string long_field(2048, 'f');
@@ -112,7 +112,7 @@
     CHECK(echo.requests == 0);
 }
 
-TEST_CASE("web server - a refusal reaches a caller that still sends its body") {
+TEST_CASE("web server - a refusal reaches a caller that is sending its body") {
     echo_server echo({.max_body_bytes = 100});
     const running_kernel running(echo.core);
     raw_connection caller(echo.local);
@@ -133,7 +133,7 @@
     CHECK(caller.has_ended());
 }
 
-TEST_CASE("web server - an idle connection is closed without an answer") {
+TEST_CASE("web server - an idle connection is closed without a response") {
     echo_server echo({.idle_timeout = milliseconds(300)});
     const running_kernel running(echo.core);
     raw_connection caller(echo.local);
@@ -143,7 +143,7 @@
     CHECK(caller.has_ended());
 }
 
-TEST_CASE("web server - a caller that does not read holds back its stream") {
+TEST_CASE("web server - a caller that does not read pauses its stream") {
     echo_server echo;
     exchange_id stream{};
     echo.on_request = [&](exchange_id exchange, const http_request&) {
@@ -177,7 +177,7 @@
               std::count(received.begin(), received.end(), 'p')) == sent);
 }
 
-TEST_CASE("web server - a caller that goes away is told once") {
+TEST_CASE("web server - a disconnected caller is reported once") {
     echo_server echo;
     echo.on_request = [](exchange_id, const http_request&) {};
     running_kernel running(echo.core);
@@ -191,7 +191,8 @@
     CHECK(running.ask([&] { return echo.server.connections(); }) == 0);
 }
 
-TEST_CASE("web server - an answer after the drain began ends the connection") {
+TEST_CASE(
+    "web server - a response after draining began closes the connection") {
     echo_server echo;
     running_kernel running(echo.core);
     raw_connection kept(echo.local);
