--- a/src/http/web_server.cpp
+++ b/src/http/web_server.cpp
@@ -18,13 +18,13 @@
 
 constexpr const char* service_name = "web_server";
 constexpr int listen_backlog = 1024;
-/// Output that a caller may leave unread before its answer is paused.
+/// Pending output of a caller beyond which its response is paused.
 constexpr std::size_t max_unread_bytes = 64 * 1024;
-/// Interval between two looks for connections whose time has passed.
+/// Interval between two checks for connections past their deadline.
 constexpr milliseconds sweep_interval{250};
-/// Time for a caller to read why it was refused while it still sends.
+/// Time for a caller that is still sending to read the refusal.
 constexpr milliseconds refusal_linger{1000};
-constexpr std::string_view continue_answer = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
 } // namespace
 
@@ -67,7 +67,7 @@
     limits_ = limits;
 }
 
-void web_server::end_after_answers() {
+void web_server::close_after_responses() {
     is_draining_ = true;
 }
 
@@ -130,7 +130,7 @@
         parse(id);
         return;
     }
-    // A caller that sends requests ahead waits until they are handled.
+    // Pipelined requests wait; reading stops when they exceed the limit.
     if (record.socket.input.size() > limits_.max_header_bytes)
         record.socket.set_reading(false);
 }
@@ -153,18 +153,18 @@
         return;
     }
     if (!progress.is_complete) {
-        if (record.parser->is_head_complete() && !record.has_asked) {
-            record.has_asked = true;
+        if (record.parser->is_head_complete() && !record.is_expect_checked) {
+            record.is_expect_checked = true;
             const std::string* expectation =
                 find_field(record.parser->request().fields, "Expect");
             if (expectation != nullptr)
-                record.socket.write(continue_answer);
+                record.socket.write(continue_response);
         }
         return;
     }
     http_request request = std::move(record.parser->request());
     record.parser.reset();
-    record.has_asked = false;
+    record.is_expect_checked = false;
     record.is_busy = true;
     record.is_chunked = false;
     record.keep_alive = request.keep_alive && !is_draining_;
@@ -188,9 +188,9 @@
     }
     response.status = status;
     record.socket.write(encode_response(response, http_framing::length, false));
-    // Closed later: a reset, as for bytes that were not read, may reach the
-    // caller before the answer does.
-    record.socket.finish_output();
+    // The connection is closed later: closing it with unread input sends a
+    // reset, which may discard the response before the caller has read it.
+    record.socket.shutdown_output();
     record.socket.input.clear();
     record.parser.reset();
     record.is_refused = true;
@@ -210,9 +210,9 @@
 
 void web_server::on_drained(std::uint64_t id) {
     const auto found = connections_.find(id);
-    if (found == connections_.end() || !found->second->wants_drain)
+    if (found == connections_.end() || !found->second->awaits_drain)
         return;
-    found->second->wants_drain = false;
+    found->second->awaits_drain = false;
     if (found->second->is_busy && handlers_.drained)
         handlers_.drained(found->second->exchange);
 }
@@ -233,11 +233,11 @@
 
 void web_server::sweep() {
     const instant now = steady::now();
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (const auto& [id, record] : connections_)
         if (!record->is_busy && record->deadline <= now)
-            late.push_back(id);
-    for (const std::uint64_t id : late) {
+            expired.push_back(id);
+    for (const std::uint64_t id : expired) {
         const connection_record& record = *connections_.at(id);
         if (record.parser)
             refuse(id, 408, "request not received in time",
@@ -247,7 +247,7 @@
     }
 }
 
-// ---- Answers ---------------------------------------------------------------
+// ---- Responses -------------------------------------------------------------
 
 web_server::connection_record* web_server::find(exchange_id exchange) {
     const auto found = exchanges_.find(static_cast<std::uint64_t>(exchange));
@@ -283,8 +283,8 @@
     if (record == nullptr || data.empty())
         return true;
     record->socket.write(encode_chunk(data));
-    record->wants_drain = record->socket.pending_bytes() > max_unread_bytes;
-    return !record->wants_drain;
+    record->awaits_drain = record->socket.pending_bytes() > max_unread_bytes;
+    return !record->awaits_drain;
 }
 
 void web_server::finish(exchange_id exchange) {
@@ -318,8 +318,8 @@
     record.socket.set_reading(true);
     if (record.socket.input.empty())
         return;
-    // Later, so that a caller's next request is not handled from within the
-    // answer to its last one.
+    // Deferred, so that the next pipelined request is not handled from within
+    // the response to the previous one.
     core_.after(service_name, std::chrono::nanoseconds(0), [this, id] {
         const auto found = connections_.find(id);
         if (found != connections_.end() && !found->second->is_busy)
--- a/src/requests/caller_api.cpp
+++ b/src/requests/caller_api.cpp
@@ -115,8 +115,8 @@
     : core_(core), configuration_(configuration), server_(server),
       metrics_(registry), dependencies_(std::move(callbacks)) {
     add_routes();
-    server_.on_refused(unreadable_response);
-    server_.on_caller(
+    server_.set_refusal_formatter(unreadable_response);
+    server_.set_stream_handlers(
         [this](exchange_id exchange) { on_caller_disconnected(exchange); },
         [this](exchange_id exchange) {
             const auto found =
@@ -132,7 +132,7 @@
 }
 
 void caller_api::add_routes() {
-    server_.route_plain("GET", "/v1/entries", [this](const api_request&) {
+    server_.route_sync("GET", "/v1/entries", [this](const api_request&) {
         return json_response(
             200, {{"entries", dependencies_.entries()},
                   {"ttl_ms", configuration_.cluster.entry_answer_ttl.count()}});
