--- a/spec/acceptance.pml
+++ b/spec/acceptance.pml
@@ -1,12 +1,13 @@
 /*
  * Acceptance of documents by compare-and-swap on one key.
  *
- * Each edit has an operation id and a base: the revision that its operator
- * saw. Two entries handle each of the first two edits, the second perhaps after
- * the first died or while it still works; one entry handles the third. A write takes effect at any later time, any number
- * of times or never, if the key has not changed from what the write expects;
- * its answer may be lost. An entry may die at any point. An outage is that no
- * entry takes a step.
+ * Each edit has an operation id and a base, the revision that its operator
+ * read. Two entries handle each of the first two edits; the second may start
+ * while the first is still running or after it has crashed. One entry handles
+ * the third edit. A write may take effect at any later time, any number of
+ * times or never, provided that the key still has the revision that the write
+ * expects; its reply may be lost. An entry may crash at any point. An outage is
+ * modelled as no entry taking a step.
  *
  * Broken variants: BLIND_REWRITE, REBASE, NO_HISTORY, NO_COPY,
  * REJECT_ON_TIMEOUT, REJECT_ON_UNCHANGED, REJECT_ON_FAILURE.
@@ -17,8 +18,8 @@
 #define FIRST_REVISION 1
 #define LAST_REVISION 6
 
-/* The key: revision (one to one with its modification revision) and the
-   operation id of the document, o + 1. */
+/* State of the key: the document's revision, which corresponds one to one to
+   the key's modification revision, and its operation id, stored as o + 1. */
 byte revision = FIRST_REVISION;
 byte operation;
 /* Operation id plus 1 in history/<revision>, 0 if there is none. */
@@ -26,7 +27,7 @@
 
 /* Edits. */
 byte base[OPERATIONS]; /* 0: not submitted */
-byte sent[OPERATIONS]; /* set of revisions that its writes expect */
+byte sent[OPERATIONS]; /* bit set of the revisions that its writes expect */
 byte applied[OPERATIONS];
 bool told_accepted[OPERATIONS];
 bool told_rejected[OPERATIONS];
@@ -39,7 +40,8 @@
 #define CHECK_HISTORY assert(history[revision] == operation + 1)
 #endif
 
-/* A write of edit o takes effect; earlier documents are in the history. */
+/* A write of edit o takes effect. The document that it replaces must already
+   be in the history. */
 #define TAKE_EFFECT(o) \
     d_step { \
         (sent[o] & BIT(revision)) != 0 && revision < LAST_REVISION -> \
@@ -78,7 +80,8 @@
 #endif
 }
 
-/* The operation that produced revision base + 1 decides. */
+/* The edit was accepted if its own operation produced revision base + 1, and
+   rejected otherwise. */
 inline decide(id) {
     if
     :: id == o + 1 -> tell_accepted()
@@ -91,14 +94,14 @@
     fi
 }
 
-/* One entry that handles edit o. */
+/* An entry that handles edit o. */
 proctype entry(byte o) {
     byte seen = 0;      /* revision read from the key */
     byte seen_id = 0;   /* its operation id */
     byte expects = 0;   /* revision that the write expects */
-    bool again = false; /* variant REBASE: the edit is made again */
+    bool again = false; /* variant REBASE: retry on the newer revision */
 
-    d_step { /* The form was filled in on the present document. */
+    d_step { /* The operator made the edit on the current document. */
         if
         :: base[o] == 0 -> base[o] = revision
         :: else -> skip
@@ -138,10 +141,10 @@
 #endif
     sent[o] = sent[o] | BIT(expects);
     if
-    /* The answer comes: the write took effect. */
+    /* The reply is received: the write took effect. */
     :: d_step { revision > expects && applied[o] == 1 -> tell_accepted() };
         goto done
-    /* The answer says that the key has changed, or does not come. */
+    /* The reply reports that the key has changed, or it is lost. */
     :: skip
     fi;
 #ifdef REJECT_ON_FAILURE
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,11 +1,11 @@
 /*
  * At most one attempt of an idempotency key is ever dispatched.
  *
- * One key, three voters, three attempts by any entries; an entry that dies
- * takes no further step. Messages are not held in channels: a voter may
+ * One key, three voters and three attempts by any entries; an entry that
+ * crashes takes no further step. Messages are not held in channels: a voter may
  * receive any claim_request, recover_request or due claim_release at any time
  * and any number of times, and an entry may use any vote that was ever sent to
- * it. That covers loss, delay, reordering and repetition of every message.
+ * it. This covers loss, delay, reordering and duplication of every message.
  *
  * Broken variants: NO_WITNESS, NO_RECOVERY, NO_KNOWN, RELEASE_AFTER_DISPATCH,
  * FIRST_RECORD_WINS, DISPUTE_NOT_SENT, KNOWN_ASKERS_ONLY, ONE_WAY_KNOWN,
@@ -23,7 +23,7 @@
 
 /* Values of claim_record.attempt; attempt a is stored as a + 1. */
 #define NO_RECORD 0
-#define DISPUTED (ATTEMPTS + 1) /* recovery met records of two attempts */
+#define DISPUTED (ATTEMPTS + 1) /* recovery found records of two attempts */
 
 #define NEXT(v) ((v + 1) % VOTERS)
 #define LAST(v) ((v + 2) % VOTERS)
@@ -41,20 +41,22 @@
 byte held[VOTERS];            /* claim_record.attempt of the key */
 byte known[VOTERS * VOTERS];  /* claim_reply.known, at PAIR(v, u) */
 
-/* recover_reply of u to the present incarnation of v, at PAIR(v, u);
-   reply_incarnation is that of recover_reply.sender, 0 if none came. */
+/* recover_reply of u to the current incarnation of v, at PAIR(v, u);
+   reply_incarnation is the incarnation of recover_reply.sender, 0 if no reply
+   was received. */
 byte reply_incarnation[VOTERS * VOTERS];
 byte reply_held[VOTERS * VOTERS];
 
-/* claim_reply in favour of an attempt, by attempt, voter and incarnation:
-   0 if none, otherwise 1 + known of NEXT + 4 * known of LAST. */
+/* Granted claim_reply, by attempt, voter and incarnation: 0 if there is none,
+   otherwise 1 + known of NEXT + 4 * known of LAST. */
 byte vote[ATTEMPTS * VOTERS * INCARNATIONS];
 
 #define VOTE(a, v, i) vote[((a) * VOTERS + (v)) * INCARNATIONS + (i) - 1]
 #define KNOWN_NEXT(code) ((code - 1) % 4)
 #define KNOWN_LAST(code) ((code - 1) / 4)
 
-/* The votes of v, incarnation i, and NEXT(v), incarnation j, both count. */
+/* The votes of v in incarnation i and of NEXT(v) in incarnation j were both
+   granted and are compatible. */
 #ifdef NO_KNOWN
 #define BOTH(a, v, i, j) (VOTE(a, v, i) != 0 && VOTE(a, NEXT(v), j) != 0)
 #elif defined(ONE_WAY_KNOWN)
@@ -84,7 +86,7 @@
 #define RELEASED(a) (attempt_state[a] == not_run)
 #endif
 
-/* An attempt that has ended uses no votes: drops them from the state. */
+/* Clears the votes of an ended attempt, which no longer uses them. */
 inline forget_votes(a) {
     do
     :: n < VOTERS * INCARNATIONS ->
@@ -114,7 +116,8 @@
 #endif
        }
        break
-    /* Lost or given up: tells the caller not-run, sends claim_release. */
+    /* The claim failed or was abandoned: reports not-run to the caller and
+       sends claim_release. */
     :: d_step {
         attempt_state[a] == asking ->
         attempt_state[a] = not_run;
@@ -124,8 +127,9 @@
     od
 }
 
-/* Receives claim_request of attempt a; claim_reply in favour is recorded.
-   The first vote of an incarnation is kept: its `known` excludes least. */
+/* Receives claim_request of attempt a and records a granted claim_reply. Only
+   the first vote of an incarnation is kept: `known` never decreases within an
+   incarnation, so the first vote excludes the fewest votes of other voters. */
 #define RECEIVE_CLAIM_REQUEST(a) \
     d_step { \
         !recovering[v] && (held[v] == NO_RECORD || \
@@ -146,8 +150,8 @@
         held[v] = NO_RECORD \
     }
 
-/* Receives recover_request of u's present incarnation and sends
-   recover_reply; `known` is raised before the records are read. */
+/* Receives recover_request of u's current incarnation and sends recover_reply;
+   `known` is raised before the records are read. */
 #ifdef RECOVERING_COUNTS
 #define MAY_REPLY(v) true
 #else
@@ -218,7 +222,7 @@
     :: RECEIVE_CLAIM_RELEASE(2)
     :: RECEIVE_RECOVER_REQUEST(NEXT(v))
     :: RECEIVE_RECOVER_REQUEST(LAST(v))
-    /* Every other witness has replied: may vote from now on. */
+    /* Every other witness has replied: recovery ends, voting is allowed. */
     :: d_step {
         recovering[v] && RECOVERED ->
         MERGE_REPLY(NEXT(v));
@@ -232,7 +236,7 @@
         assert(held[v] != DISPUTED)
 #endif
        }
-    /* Is replaced by a new incarnation with empty memory. */
+    /* The voter restarts as a new incarnation with empty memory. */
     :: d_step {
         restarts < RESTARTS && incarnation[v] < INCARNATIONS ->
         restarts++;
--- a/spec/fence.pml
+++ b/spec/fence.pml
@@ -1,15 +1,16 @@
 /*
- * Orders to one engine by the agents of one VM, the older one outdated.
+ * Load orders to one engine from two successive agents of one VM.
  *
- * The first agent may go on after the second has started, with the document
- * of its time; its orders may arrive late, also after it is gone. The engine
- * either refuses an order whose fencing number is lower than the highest that
- * it has seen, or ignores the number. It may restart with nothing loaded and
- * no memory of fencing numbers. A request names the version it wants; every
- * frame of the answer names the version that gave it.
+ * The first agent may keep running after the second has started, with the
+ * document that it held then; its orders may arrive late, even after it has
+ * stopped. The engine either refuses an order whose fencing number is lower
+ * than the highest that it has received, or ignores the number. The engine may
+ * restart with nothing loaded and no record of fencing numbers. A request names
+ * the requested version; every frame of the answer names the version that
+ * produced it.
  *
- * Convergence is checked at rest: when no process has a step left, the engine
- * has what the document says.
+ * Convergence is checked in the final state: when no process can take a step,
+ * the engine serves the version that the document names.
  *
  * Broken variants: ORDER_ONCE, NO_VERSION_CHECK, CHECK_BEGIN_ONLY,
  * CHECK_BEFORE, SAME_NUMBER. Reachability: REACH_OVERRULED, REACH_PASSED,
@@ -22,7 +23,7 @@
 #define NEW 2
 #define FRAMES 2   /* of an answer */
 #define REQUESTS 2
-#define CHANGES 2  /* of the document: a new version and the way back */
+#define CHANGES 2  /* of the document: a new version and its rollback */
 #define RESTARTS 1 /* of the engine */
 #define LOSSES 2   /* orders lost */
 
@@ -34,10 +35,11 @@
 byte serving = OLD;
 byte loading = NONE;
 byte fence_seen;
-byte newest_applied; /* agent whose order was applied last, for assertions */
+/* Agent, counted from 1, of the last applied order; for assertions. */
+byte newest_applied;
 byte restarts;
 
-/* Load orders under way: version and fencing number. */
+/* Load orders in transit: version and fencing number. */
 chan orders[AGENTS] = [1] of { byte, byte };
 byte losses;
 
@@ -82,7 +84,7 @@
         fence_seen = 0;
         newest_applied = 0
        }
-    /* Orders that get lost. */
+    /* An order is lost. */
     :: d_step {
         losses < LOSSES && nempty(orders[0]) ->
         losses++;
@@ -102,7 +104,7 @@
 #define FENCING_NUMBER (self + 1)
 #endif
 
-/* What the engine has or is loading, as the agent reads it. */
+/* The version that the engine is loading or serving, as the agent reads it. */
 #define ENGINE_STATE (loading != NONE -> loading : serving)
 
 #ifdef ORDER_ONCE
@@ -118,7 +120,7 @@
     byte ordered = NONE;
 end:
     do
-    /* The engine's state, which may be old when it is used. */
+    /* Reads the engine's state, which may be stale when it is used. */
     :: d_step { seen != ENGINE_STATE -> seen = ENGINE_STATE }
     :: d_step {
         seen != held[self] && empty(orders[self]) && MAY_ORDER ->
@@ -126,9 +128,9 @@
         ordered = ORDERED;
         seen = ENGINE_STATE
        }
-    /* Only the new agent hears of later documents. */
+    /* Only the new agent receives later documents. */
     :: d_step { self == 1 && held[self] != document -> held[self] = document }
-    /* The old agent is gone; its last order may still be under way. */
+    /* The old agent stops; its last order may still be in transit. */
     :: self == 0 -> break
     od
 }
@@ -145,7 +147,8 @@
     od
 }
 
-/* The gate of an agent passes the frames of one answer after another. */
+/* The attempt scheduler of an agent, which forwards the frames of one answer at
+   a time. */
 proctype gate() {
     byte wanted = NONE;
     byte frames = 0;
@@ -162,7 +165,7 @@
         fi;
         checked = (serving == wanted)
        }
-    /* The engine gives one frame with the version that it is serving. */
+    /* The engine produces one frame with the version that it is serving. */
     :: d_step {
         wanted != NONE && serving != NONE ->
         if
@@ -187,7 +190,7 @@
         :: else -> frames = 0; wanted = NONE
         fi
        }
-    /* No answer: the attempt fails. */
+    /* The engine does not answer: the attempt fails. */
     :: d_step { wanted != NONE -> frames = 0; wanted = NONE }
     od
 }
--- a/spec/request.pml
+++ b/spec/request.pml
@@ -1,16 +1,17 @@
 /*
- * One request between an entry and the agents in the slot of one VM.
+ * Requests between an entry and the agents in the slot of one VM.
  *
  * The entry (two incarnations) opens up to CONNECTIONS connections, one after
  * another, in ascending order of (incarnation, epoch). The agents are two
- * incarnations of one slot; the first may go on after the second has started,
- * as one does that was paused. A process may take its next step at any time or
- * never, which covers pause, death and delay; the frames of a connection are
- * read in order, at any time or never, which covers loss.
+ * incarnations of one slot; the first may keep running after the second has
+ * started, as a process does that resumes after a pause. A process may take its
+ * next step at any time or never, which covers pauses, crashes and delays; the
+ * frames of a connection are read in order, at any time or never, which covers
+ * loss.
  *
  * Request 0 has attempts 0 and 1 (its retry) from the entry's incarnation 1,
  * request 1 has attempt 2 from incarnation 2. Attempts 0 and 2 have the same
- * sequence number. An answer is PARTS parts and answer_end.
+ * sequence number. An answer consists of PARTS parts followed by answer_end.
  *
  * Broken variants: NO_EPOCH, QUEUE_NOT_SEALED, FINISHED_FORGOTTEN,
  * NO_INCARNATION, ID_REUSED, NO_SEAL, WAITING_SEALED, RETRY_ON_UNKNOWN,
@@ -38,15 +39,15 @@
 /* Entry. */
 byte entry_incarnation = 1;
 byte current;               /* number of connections opened so far */
-bool connected;             /* the latest one is open at the entry */
-bool established;           /* and hello_reply has come */
-bool leaving_known;         /* load_report.leaving has come */
+bool connected;             /* the latest connection is open at the entry */
+bool established;           /* and its hello_reply has been received */
+bool leaving_known;         /* load_report.leaving has been received */
 byte agent_known = 1;       /* agent incarnation that run_order names */
 mtype state[ATTEMPTS] = idle;
 byte dispatched_on[ATTEMPTS]; /* connection, counted from 1 */
 byte meant[ATTEMPTS];         /* run_order.agent */
 bool seal_sent[ATTEMPTS];
-byte received[ATTEMPTS];      /* parts shown to the caller */
+byte received[ATTEMPTS];      /* number of parts sent to the caller */
 mtype told[2] = nothing;
 
 /* Connections. */
@@ -54,19 +55,20 @@
 byte owner[CONNECTIONS];    /* agent incarnation that read hello, or 0 */
 
 /* Agents, by incarnation - 1. */
-byte latest[2];               /* highest connection greeted on */
+byte latest[2];               /* highest connection on which hello was read */
 bool leaving[2];
 byte queued_on[2 * ATTEMPTS]; /* connection of the order, 0: not queued */
 byte progress[2 * ATTEMPTS];  /* 0: not started, n + 1: n frames sent */
 
-/* What really happened, for the assertions. */
+/* Global state that only the assertions read, except `idempotent`. */
 bool idempotent;
 byte runs[2];
-byte shown[ATTEMPTS]; /* set of parts shown to the caller */
+byte shown[ATTEMPTS]; /* bit set of the parts sent to the caller */
 
 #define IS_OPEN(c) (connected && current == c + 1)
 
-/* Frames that the entry will never read are not kept. */
+/* Drops frames for a connection that the entry has closed, since the entry will
+   never read them. */
 #define SEND_DOWN(c, type, x, y) \
     if \
     :: IS_OPEN(c) -> down[c]!type(x, y) \
@@ -89,7 +91,7 @@
     n = 0;
     do
     :: n < ATTEMPTS ->
-        if /* Never sent. */
+        if /* The run_order was never sent. */
         :: state[n] == waiting -> PROVABLY_NOT_RUN(n)
         :: else -> skip
         fi;
@@ -105,7 +107,8 @@
 #define SAME_AGENT(a) (x == meant[a])
 #endif
 
-/* Attempt a when hello_reply names agent x and the started attempts y. */
+/* Updates attempt a on a hello_reply from agent incarnation x with the set y of
+   started attempts. */
 inline resolve(a) {
     if
     :: state[a] == waiting ->
@@ -125,7 +128,8 @@
     fi
 }
 
-/* The attempt that an answer names; y is its index or number of parts. */
+/* The attempt that an answer frame names. In the frame, y is the index of the
+   part, or the number of parts in answer_end. */
 #ifdef ID_REUSED
 #define ADDRESSEE(a) ((a != 1 && entry_incarnation == 2) -> 2 : a)
 #else
@@ -229,7 +233,7 @@
         up[current - 1]!seal_order(a, 0) \
     }
 
-/* The deadline passes: whether the attempt runs is not known. */
+/* The deadline passes: it is unknown whether the attempt has run. */
 #define GIVE_UP(a) \
     d_step { state[a] == outstanding -> state[a] = unknown }
 
@@ -279,7 +283,8 @@
         told[1] = not_run;
         assert(runs[1] == 0)
        }
-    /* Is replaced: the callers of the old incarnation learn nothing. */
+    /* The entry restarts as a new incarnation; callers of the old one get no
+       result. */
     :: d_step {
         entry_incarnation == 1 ->
         if
@@ -331,8 +336,9 @@
     queued_on[AT(2)] = 0
 #endif
 
-/* Adopts the connection, seals what is queued and lists what has started, in
-   one step. A connection older than the latest is refused. */
+/* Takes over the connection, seals the queued attempts and lists the started
+   ones in one atomic step. Gives no hello_reply on a connection that is older
+   than the latest. */
 #define RECEIVE_HELLO(c) \
     d_step { \
         owner[c] == 0 && nempty(up[c]) -> \
@@ -357,7 +363,7 @@
 #define IS_MEANT(y) (y == inc)
 #endif
 
-/* An order may be refused for any reason. */
+/* The agent may refuse any run_order. */
 #define RECEIVE_RUN_ORDER(c) \
     atomic { \
         owner[c] == inc && up[c]?[run_order(_, _)] && ROOM(c) -> \
@@ -398,7 +404,7 @@
         assert(idempotent || runs[REQUEST_OF(a)] == 1) \
     }
 
-/* Answers go to the latest connection of the entry. */
+/* Sends answer frames on the latest connection of the entry. */
 #define ANSWER(a) \
     d_step { \
         progress[AT(a)] > 0 && progress[AT(a)] < FINISHED && \
@@ -416,7 +422,8 @@
      (progress[AT(a)] > 0 && progress[AT(a)] < FINISHED))
 #define IS_BUSY (IS_RUNNING(0) || IS_RUNNING(1) || IS_RUNNING(2))
 
-/* The entry has closed and everything that it sent has been read. */
+/* The agent has no connection, or the entry has closed the latest one and the
+   agent has read every frame sent on it. */
 #define PEER_CLOSED \
     (LATEST == 0 || (!IS_OPEN(LATEST - 1) && len(up[LATEST - 1]) == 0))
 
@@ -452,7 +459,7 @@
     :: ANSWER(0)
     :: ANSWER(1)
     :: ANSWER(2)
-    /* A planned stop begins. */
+    /* A graceful stop begins. */
     :: d_step {
         inc == 1 && !LEAVING && (LATEST == 0 || ROOM(LATEST - 1)) ->
         LEAVING = true;
--- a/spec/spread.pml
+++ b/spec/spread.pml
@@ -1,20 +1,22 @@
 /*
- * Putting a revision in force, with witnesses and nodes that keep nothing.
+ * Putting a revision in force, with witnesses and nodes that have no persistent
+ * state.
  *
- * Three witnesses and the processes of one VM, each replaced by the next.
- * document_push of any accepted revision may reach any process at any time;
- * a node may use any held_revision that was ever sent. That covers loss,
- * delay, repetition, relays, partitions and outages: whatever is not
- * available is a step that is not taken.
+ * Three witnesses and the successive processes of one VM. A document_push of
+ * any accepted revision may reach any process at any time; a node may use any
+ * held_revision that was ever sent. This covers loss, delay, duplication,
+ * relays, partitions and outages: an unavailable process or link is modelled as
+ * a step that is not taken.
  *
- * The node asserts more than that its own VM never goes back: a process that
+ * The assertions are stronger than monotonicity within one VM: a process that
  * starts after a revision was in force anywhere never puts a lower one in
- * force, and a witness that starts after it never counts with a lower one.
+ * force, and a witness that starts after that never counts with a lower one.
  *
  * Broken variants: LOWER_ACCEPTED, NODE_LOWER_ACCEPTED, ONE_STALE_PEER,
  * NO_MAJORITY, UNRECOVERED_ANSWERS, NO_CONFIRM, ANY_INCARNATION,
- * CONFIRM_EARLY. ALT_KEY_ONLY is another rule that holds: witnesses recover
- * from the platform's service only, and the second round is not needed.
+ * CONFIRM_EARLY. ALT_KEY_ONLY is an alternative design that also holds:
+ * witnesses recover from the platform's service only, and no second round is
+ * needed.
  * Reachability: REACH_IN_FORCE, REACH_WITNESS_RECOVERY, REACH_NODE_RECOVERY.
  */
 
@@ -27,7 +29,7 @@
 
 #define WITNESSES 3
 #define INCARNATIONS 3 /* per witness */
-#define FIRST_REVISION 1 /* held by every witness and in force at first */
+#define FIRST_REVISION 1 /* held by every witness and in force initially */
 #ifndef LAST_REVISION
 #define LAST_REVISION 2
 #endif
@@ -42,10 +44,10 @@
 byte incarnation[WITNESSES] = 1;
 bool recovered[WITNESSES] = true;
 byte document[WITNESSES] = FIRST_REVISION;
-byte floor[WITNESSES] = FIRST_REVISION; /* in_force when it started */
+byte floor[WITNESSES] = FIRST_REVISION; /* in_force when the witness started */
 byte restarts;
 
-/* The sync_reply.document of u that the present incarnation of w uses, plus 1;
+/* The sync_reply.document of u that the current incarnation of w uses, plus 1;
    0 if there is none. */
 byte reply[WITNESSES * WITNESSES];
 #define REPLY(w, u) reply[(w) * WITNESSES + (u)]
@@ -62,7 +64,7 @@
 byte replacements;
 /* Incarnation whose held_revision covers node_document, 0 if none. */
 byte counted[WITNESSES];
-bool confirming; /* a majority is counted, its members are asked again */
+bool confirming; /* a majority is counted and is asked to confirm */
 bool confirmed[WITNESSES];
 
 #ifdef LOWER_ACCEPTED
@@ -133,7 +135,8 @@
         REPLY(w, u) = document[u] + 1 \
     }
 
-/* A majority of all witnesses, none of which is this one. */
+/* Replies from a majority of all witnesses; the recovering witness itself does
+   not count. */
 #if defined(ALT_KEY_ONLY)
 #define MAY_RECOVER false
 #elif defined(ONE_STALE_PEER)
@@ -222,11 +225,13 @@
     node_reply[2] = 0
 }
 
-/* Counting for a revision that is in force here already changes nothing. */
+/* Does not count for a revision that this node already has in force, since that
+   would have no effect. */
 #define MAY_COUNT \
     (node_recovered && !confirming && node_document != node_floor)
 
-/* Has heard, perhaps late, that incarnation i of w holds the document. */
+/* Incarnation i of w has reported that it holds the node's document or a later
+   one; the report may be received late. */
 #define IS_REPORTED(w, i) (REPORTED(w, i) >= node_document)
 
 #ifdef NO_MAJORITY
@@ -275,7 +280,7 @@
 #define SAME_INCARNATION(w) (counted[w] == incarnation[w])
 #endif
 
-/* A witness answers a question that was sent after `confirming` was set. */
+/* A witness confirms; the request was sent after `confirming` was set. */
 #define RECEIVE_CONFIRMATION(w) \
     d_step { \
         MAY_CONFIRM && counted[w] != 0 && SAME_INCARNATION(w) && \
@@ -340,8 +345,8 @@
                replacements < REPLACEMENTS)
 #endif
        }
-    /* Hears that another process has its document, or a later one, in force:
-       that stays true, so there is nothing to count. */
+    /* Receives the announcement that another process has the node's document,
+       or a later one, in force. This remains true, so no count is needed. */
     :: d_step {
         node_recovered && node_document <= in_force &&
         node_document != node_floor ->
@@ -349,7 +354,7 @@
         node_floor = node_document;
         forget_counts()
        }
-    /* A confirmation does not come: counts again. */
+    /* A confirmation is not received: restarts the count. */
     :: d_step { COUNTED != 0 -> forget_counts() }
     :: d_step {
         replacements < REPLACEMENTS ->
