--- a/include/ospreystage/http/api_server.hpp
+++ b/include/ospreystage/http/api_server.hpp
@@ -22,10 +22,9 @@
 /// Request that an `api_server` dispatches to a route.
 struct api_request {
     http_request message;
-    std::string path;  ///< Request target up to `?`.
-    std::string query; ///< Request target after `?`.
-    std::vector<std::string>
-        captures; ///< Capture groups of the route's pattern.
+    std::string path;                  ///< Request target up to `?`.
+    std::string query;                 ///< Request target after `?`.
+    std::vector<std::string> captures; ///< Groups of the route's pattern.
 };
 
 /// Returns the value of query parameter `name` without percent-decoding, or an
@@ -116,8 +115,8 @@
     [[nodiscard]] handler run_on_pool(sync_handler handle);
 
     kernel& core_;
-    absl::flat_hash_map<std::string, handler>
-        routes_; ///< Key: method and path.
+    /// Key: method and path.
+    absl::flat_hash_map<std::string, handler> routes_;
     std::vector<pattern_route> patterns_;
     std::function<void(exchange_id)> abandoned_;
     std::function<void(exchange_id)> drained_;
--- a/include/ospreystage/http/web_client.hpp
+++ b/include/ospreystage/http/web_client.hpp
@@ -25,7 +25,7 @@
 /// How a call ended.
 enum class call_end : std::uint8_t {
     complete,      ///< The response is complete.
-    not_connected, ///< Nothing was sent: the server did not act.
+    not_connected, ///< Nothing was sent: the server cannot have acted.
     no_answer,     ///< The connection ended before the response head.
     truncated,     ///< The connection ended within the response.
     malformed,     ///< The server did not send a valid response.
@@ -100,7 +100,7 @@
         std::optional<call_id> call;
         std::unique_ptr<response_parser> parser;
         bool is_discarding = false; ///< The response is to another request.
-        milliseconds max_idle{};    ///< For which the connection is reused.
+        milliseconds max_idle{};    ///< Longest idle time before reuse.
         instant idle_until{};
     };
     struct call_record {
--- a/include/ospreystage/http/web_server.hpp
+++ b/include/ospreystage/http/web_server.hpp
@@ -108,11 +108,11 @@
         bool is_busy = false;    ///< A request is in progress.
         bool is_chunked = false; ///< Its response is chunked.
         bool keep_alive = true;
-        bool is_expect_checked =
-            false; ///< `Expect` was looked up, once per request.
+        /// `Expect` was looked up, once per request.
+        bool is_expect_checked = false;
         bool awaits_drain = false; ///< `write` returned false.
-        bool is_refused =
-            false;          ///< Open until the caller has read the refusal.
+        /// Stays open for a while, so that the caller can read the refusal.
+        bool is_refused = false;
         instant deadline{}; ///< For the next request, or the rest of it.
     };
 
--- a/tests/web_client.cpp
+++ b/tests/web_client.cpp
@@ -237,7 +237,7 @@
     CHECK_FALSE(result.has_ended);
 }
 
-TEST_CASE("web client - at the limit, only an idle connection is free") {
+TEST_CASE("web client - only an idle connection is free at the limit") {
     scripted_server server([](const std::string&) {
         return scripted_answer{answer_of("one", "x"), false};
     });
--- a/tests/web_server.cpp
+++ b/tests/web_server.cpp
@@ -88,7 +88,7 @@
     CHECK(contains(caller.read_until("/a:"), "200 OK"));
 }
 
-TEST_CASE("web server - malformed and oversized requests get 400, 413 or 431") {
+TEST_CASE("web server - malformed and oversized requests get a clear status") {
     echo_server echo({.max_header_bytes = 1024, .max_body_bytes = 100});
     const running_kernel running(echo.core);
     const std::string long_field(2048, 'f');
