--- a/include/ospreystage/core/job_thread.hpp
+++ b/include/ospreystage/core/job_thread.hpp
@@ -26,7 +26,7 @@
     void run(job work);
 
   private:
-    void loop();
+    void run_jobs();
 
     absl::Mutex mutex_;
     std::deque<job> jobs_ ABSL_GUARDED_BY(mutex_);
--- a/include/ospreystage/core/kernel.hpp
+++ b/include/ospreystage/core/kernel.hpp
@@ -139,12 +139,12 @@
 
     void insert(const std::string& name, service_record record);
     [[nodiscard]] const service_record*
-    record_of(const std::string& name) const;
+    find_record(const std::string& name) const;
     void execute(const std::string& service, const task& work);
     void run_queue();
     void run_timers();
     void run_turn_end();
-    [[nodiscard]] int wait_milliseconds() const;
+    [[nodiscard]] int next_wait_ms() const;
     void wake() noexcept;
 
     std::map<std::string, service_record> services_;
@@ -154,15 +154,15 @@
         timer_index_;
     absl::flat_hash_map<int, std::shared_ptr<descriptor_handler>> watched_;
     std::vector<task> turn_end_;
-    bool has_run_ = false; ///< Nothing runs the end of a turn any more.
+    bool run_ended_ = false; ///< Nothing runs the end of a turn any more.
     std::uint64_t next_timer_ = 1;
-    int epoll_ = -1;
-    int wake_ = -1;
+    int epoll_descriptor_ = -1;
+    int wake_descriptor_ = -1;
     std::atomic<bool> stopping_{false};
 
     mutable absl::Mutex mutex_;
     std::deque<queued_task> queue_ ABSL_GUARDED_BY(mutex_);
-    bool stopped_ ABSL_GUARDED_BY(mutex_) = false;
+    bool queue_closed_ ABSL_GUARDED_BY(mutex_) = false;
 };
 
 template <typename Service>
@@ -177,7 +177,7 @@
 
 template <typename Service>
 Service* kernel::find_if(const std::string& name) const {
-    const service_record* record = record_of(name);
+    const service_record* record = find_record(name);
     if (record == nullptr)
         return nullptr;
     if (record->type != std::type_index(typeid(Service)))
--- a/include/ospreystage/core/line_ring.hpp
+++ b/include/ospreystage/core/line_ring.hpp
@@ -53,7 +53,7 @@
 class line_quota {
   public:
     explicit line_quota(std::uint32_t lines_per_second)
-        : limit_(lines_per_second) {}
+        : lines_per_second_(lines_per_second) {}
 
     /// Takes one line of a kind; returns false if it is to be left out.
     [[nodiscard]] bool take(const std::string& kind, instant now);
@@ -64,8 +64,8 @@
         std::uint32_t lines = 0;
     };
 
-    std::uint32_t limit_;
-    std::map<std::string, window> kinds_;
+    std::uint32_t lines_per_second_;
+    std::map<std::string, window> windows_;
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/core/log.hpp
+++ b/include/ospreystage/core/log.hpp
@@ -23,7 +23,7 @@
 /// go through a buffer of fixed size that a thread of its own empties, so that
 /// a reader that is slow, or gone, delays nothing; what has no room is counted
 /// and left out. So are lines below `warn` beyond a number a second and event.
-void start_logging(const process_id& self, log_level least);
+void start_logging(const process_id& self, log_level min_level);
 
 /// Writes one line: an event name and its fields. Safe from any thread.
 void log_event(log_level level, const std::string& event,
--- a/include/ospreystage/core/token_bucket.hpp
+++ b/include/ospreystage/core/token_bucket.hpp
@@ -27,9 +27,10 @@
     /// Returns when `is_ready` becomes true.
     [[nodiscard]] instant ready_at() const noexcept {
         if (is_ready())
-            return updated_;
-        return updated_ + std::chrono::ceil<microseconds>(
-                              std::chrono::duration<double>(-balance_ / rate_));
+            return updated_at_;
+        return updated_at_ +
+               std::chrono::ceil<microseconds>(
+                   std::chrono::duration<double>(-balance_ / rate_));
     }
 
     // ---- Modifiers ---------------------------------------------------------
@@ -45,11 +46,11 @@
 
     /// Adds what the rate allows up to `now`.
     void advance(instant now) noexcept {
-        if (now <= updated_)
+        if (now <= updated_at_)
             return;
-        const std::chrono::duration<double> passed = now - updated_;
-        balance_ = std::min(burst_, balance_ + rate_ * passed.count());
-        updated_ = now;
+        const std::chrono::duration<double> elapsed = now - updated_at_;
+        balance_ = std::min(burst_, balance_ + rate_ * elapsed.count());
+        updated_at_ = now;
     }
 
     /// Takes `bytes`; the balance may become negative.
@@ -66,7 +67,7 @@
     double rate_ = 0;
     double burst_ = 0;
     double balance_ = 0;
-    instant updated_{};
+    instant updated_at_{};
 };
 
 } // namespace ospreystage
--- a/include/ospreystage/core/worker_pool.hpp
+++ b/include/ospreystage/core/worker_pool.hpp
@@ -34,7 +34,7 @@
     void work();
 
     absl::Mutex mutex_;
-    std::deque<task> waiting_ ABSL_GUARDED_BY(mutex_);
+    std::deque<task> pending_ ABSL_GUARDED_BY(mutex_);
     bool stopping_ ABSL_GUARDED_BY(mutex_) = false;
     std::vector<std::thread> threads_;
 };
--- a/include/ospreystage/impl/kv_json.hpp
+++ b/include/ospreystage/impl/kv_json.hpp
@@ -16,10 +16,10 @@
 [[nodiscard]] std::string from_base64(const std::string& text);
 
 /// Reads a 64-bit integer that the gateway writes as a string; 0 if absent.
-[[nodiscard]] std::int64_t int64_of(const nlohmann::json& object,
-                                    const char* name);
+[[nodiscard]] std::int64_t read_int64(const nlohmann::json& object,
+                                      const char* name);
 
 /// Reads one `kv` object.
-[[nodiscard]] kv_entry entry_of(const nlohmann::json& kv);
+[[nodiscard]] kv_entry parse_kv_entry(const nlohmann::json& kv);
 
 } // namespace ospreystage::impl
--- a/include/ospreystage/impl/table_reader.hpp
+++ b/include/ospreystage/impl/table_reader.hpp
@@ -23,7 +23,7 @@
   public:
     /// `table` may be null: every key is missing then.
     table_reader(const toml::table* table, std::string path,
-                 const std::string& file, std::optional<error>& fault);
+                 const std::string& file, std::optional<error>& first_error);
 
     // ---- Values ------------------------------------------------------------
 
@@ -37,21 +37,22 @@
            const std::optional<std::string>& fallback = {});
 
     /// Reads an integer within [least, most].
-    [[nodiscard]] std::uint64_t number(const char* key, std::uint64_t least,
-                                       std::uint64_t most,
+    [[nodiscard]] std::uint64_t number(const char* key, std::uint64_t min_value,
+                                       std::uint64_t max_value,
                                        std::uint64_t fallback);
 
     /// Reads an integer of 32 bits.
-    [[nodiscard]] std::uint32_t number32(const char* key, std::uint32_t least,
-                                         std::uint32_t most,
+    [[nodiscard]] std::uint32_t number32(const char* key,
+                                         std::uint32_t min_value,
+                                         std::uint32_t max_value,
                                          std::uint32_t fallback);
 
     /// Reads a boolean.
     [[nodiscard]] bool flag(const char* key, bool fallback);
 
     /// Reads a duration such as `"500ms"`, `"2s"` or `"10min"`.
-    [[nodiscard]] milliseconds duration(const char* key, milliseconds least,
-                                        milliseconds most,
+    [[nodiscard]] milliseconds duration(const char* key, milliseconds min_value,
+                                        milliseconds max_value,
                                         milliseconds fallback);
 
     /// Reads `"host:port"`.
@@ -75,15 +76,15 @@
     void report(const char* key, const std::string& detail);
 
   private:
-    [[nodiscard]] const toml::node* node(const char* key);
-    void report_at(const toml::source_region& where, const std::string& key,
-                   const std::string& detail);
+    [[nodiscard]] const toml::node* find_node(const char* key);
+    void record_error(const toml::source_region& where, const std::string& key,
+                      const std::string& detail);
 
     const toml::table* table_;
     std::string path_;
     const std::string& file_;
-    std::optional<error>& fault_;
-    std::set<std::string> read_;
+    std::optional<error>& first_error_;
+    std::set<std::string> read_keys_;
 };
 
 } // namespace ospreystage::impl
--- a/include/ospreystage/store/kv_watch.hpp
+++ b/include/ospreystage/store/kv_watch.hpp
@@ -33,7 +33,7 @@
     using failure_handler = std::function<void(const error&)>;
 
     /// Starts the thread.
-    kv_watch(kv_client client, std::string key, milliseconds silence_limit,
+    kv_watch(kv_client client, std::string key, milliseconds silence_timeout,
              entry_handler on_entry, failure_handler on_failure);
 
     /// Ends the connection and waits for the thread.
@@ -43,16 +43,16 @@
 
   private:
     void run();
-    [[nodiscard]] bool read_key(std::int64_t& next);
-    void follow(std::int64_t next);
-    [[nodiscard]] bool take_lines(std::string& buffer);
-    [[nodiscard]] bool take_line(const std::string& line);
+    [[nodiscard]] bool read_key(std::int64_t& start_revision);
+    void follow(std::int64_t start_revision);
+    [[nodiscard]] bool process_lines(std::string& buffer);
+    [[nodiscard]] bool process_line(const std::string& line);
     [[nodiscard]] bool is_stopped() const;
-    void pause();
+    void wait_before_retry();
 
     kv_client client_;
     std::string key_;
-    milliseconds silence_limit_;
+    milliseconds silence_timeout_;
     entry_handler on_entry_;
     failure_handler on_failure_;
     mutable absl::Mutex mutex_;
--- a/src/core/job_thread.cpp
+++ b/src/core/job_thread.cpp
@@ -4,7 +4,7 @@
 
 namespace ospreystage {
 
-job_thread::job_thread() : thread_([this] { loop(); }) {}
+job_thread::job_thread() : thread_([this] { run_jobs(); }) {}
 
 job_thread::~job_thread() {
     {
@@ -21,7 +21,7 @@
         jobs_.push_back(std::move(work));
 }
 
-void job_thread::loop() {
+void job_thread::run_jobs() {
     for (;;) {
         job work;
         {
--- a/src/core/kernel.cpp
+++ b/src/core/kernel.cpp
@@ -17,21 +17,21 @@
 } // namespace
 
 kernel::kernel()
-    : epoll_(epoll_create1(EPOLL_CLOEXEC)),
-      wake_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-    if (epoll_ < 0 || wake_ < 0)
+    : epoll_descriptor_(epoll_create1(EPOLL_CLOEXEC)),
+      wake_descriptor_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+    if (epoll_descriptor_ < 0 || wake_descriptor_ < 0)
         throw std::runtime_error("cannot create the kernel's descriptors");
     epoll_event request{};
     request.events = EPOLLIN;
-    request.data.fd = wake_;
-    epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_, &request);
+    request.data.fd = wake_descriptor_;
+    epoll_ctl(epoll_descriptor_, EPOLL_CTL_ADD, wake_descriptor_, &request);
 }
 
 kernel::~kernel() {
     std::deque<queued_task> dropped;
     {
         const absl::MutexLock lock(&mutex_);
-        stopped_ = true;
+        queue_closed_ = true;
         dropped.swap(queue_);
     }
     dropped.clear();
@@ -40,8 +40,8 @@
     // Services may use each other while they are destroyed in any order, so
     // none of them may call into the kernel from its destructor.
     services_.clear();
-    close(wake_);
-    close(epoll_);
+    close(wake_descriptor_);
+    close(epoll_descriptor_);
 }
 
 void kernel::insert(const std::string& name, service_record record) {
@@ -49,7 +49,8 @@
         throw std::logic_error("service " + name + " exists twice");
 }
 
-const kernel::service_record* kernel::record_of(const std::string& name) const {
+const kernel::service_record*
+kernel::find_record(const std::string& name) const {
     const auto found = services_.find(name);
     return found == services_.end() ? nullptr : &found->second;
 }
@@ -57,11 +58,11 @@
 nlohmann::json kernel::dump() const {
     nlohmann::json state;
     for (const auto& [name, record] : services_) {
-        nlohmann::json& entry = state["services"][name];
-        entry["tasks"] = record.tasks;
-        entry["busy_us"] = record.busy / microseconds(1);
-        entry["longest_us"] = record.longest / microseconds(1);
-        entry["state"] = record.dump();
+        nlohmann::json& service_state = state["services"][name];
+        service_state["tasks"] = record.tasks;
+        service_state["busy_us"] = record.busy / microseconds(1);
+        service_state["longest_us"] = record.longest / microseconds(1);
+        service_state["state"] = record.dump();
     }
     state["timers"] = timers_.size();
     const absl::MutexLock lock(&mutex_);
@@ -72,7 +73,7 @@
 void kernel::post(const std::string& service, task work) {
     {
         const absl::MutexLock lock(&mutex_);
-        if (stopped_)
+        if (queue_closed_)
             return;
         queue_.push_back({service, std::move(work)});
     }
@@ -106,7 +107,7 @@
 }
 
 void kernel::at_turn_end(task work) {
-    if (has_run_)
+    if (run_ended_)
         work();
     else
         turn_end_.push_back(std::move(work));
@@ -119,18 +120,18 @@
     request.data.fd = descriptor;
     watched_[descriptor] =
         std::make_shared<descriptor_handler>(std::move(handler));
-    epoll_ctl(epoll_, EPOLL_CTL_ADD, descriptor, &request);
+    epoll_ctl(epoll_descriptor_, EPOLL_CTL_ADD, descriptor, &request);
 }
 
 void kernel::rewatch(int descriptor, std::uint32_t events) {
     epoll_event request{};
     request.events = events;
     request.data.fd = descriptor;
-    epoll_ctl(epoll_, EPOLL_CTL_MOD, descriptor, &request);
+    epoll_ctl(epoll_descriptor_, EPOLL_CTL_MOD, descriptor, &request);
 }
 
 void kernel::unwatch(int descriptor) {
-    epoll_ctl(epoll_, EPOLL_CTL_DEL, descriptor, nullptr);
+    epoll_ctl(epoll_descriptor_, EPOLL_CTL_DEL, descriptor, nullptr);
     watched_.erase(descriptor);
 }
 
@@ -144,14 +145,14 @@
     while (!stopping_.load(std::memory_order_acquire)) {
         run_turn_end();
         const int count =
-            epoll_wait(epoll_, ready.data(), static_cast<int>(ready.size()),
-                       wait_milliseconds());
+            epoll_wait(epoll_descriptor_, ready.data(),
+                       static_cast<int>(ready.size()), next_wait_ms());
         for (int index = 0; index < count; ++index) {
             const epoll_event& event = ready[static_cast<std::size_t>(index)];
-            if (event.data.fd == wake_) {
+            if (event.data.fd == wake_descriptor_) {
                 std::uint64_t value = 0;
                 [[maybe_unused]] const auto bytes =
-                    read(wake_, &value, sizeof(value));
+                    read(wake_descriptor_, &value, sizeof(value));
                 continue;
             }
             const auto found = watched_.find(event.data.fd);
@@ -164,9 +165,9 @@
         run_timers();
     }
     run_turn_end();
-    has_run_ = true;
+    run_ended_ = true;
     const absl::MutexLock lock(&mutex_);
-    stopped_ = true;
+    queue_closed_ = true;
     queue_.clear();
 }
 
@@ -194,9 +195,9 @@
         const absl::MutexLock lock(&mutex_);
         batch.swap(queue_);
     }
-    for (queued_task& entry : batch) {
-        execute(entry.service, entry.work);
-        entry.work = nullptr;
+    for (queued_task& queued : batch) {
+        execute(queued.service, queued.work);
+        queued.work = nullptr;
     }
 }
 
@@ -219,7 +220,7 @@
     turn_end_.clear();
 }
 
-int kernel::wait_milliseconds() const {
+int kernel::next_wait_ms() const {
     {
         const absl::MutexLock lock(&mutex_);
         if (!queue_.empty())
@@ -227,15 +228,16 @@
     }
     if (timers_.empty())
         return max_wait_ms;
-    const auto left =
+    const auto remaining =
         std::chrono::ceil<milliseconds>(timers_.begin()->first - steady::now());
     return static_cast<int>(
-        std::clamp<std::int64_t>(left.count(), 0, max_wait_ms));
+        std::clamp<std::int64_t>(remaining.count(), 0, max_wait_ms));
 }
 
 void kernel::wake() noexcept {
     const std::uint64_t one = 1;
-    [[maybe_unused]] const auto bytes = write(wake_, &one, sizeof(one));
+    [[maybe_unused]] const auto bytes =
+        write(wake_descriptor_, &one, sizeof(one));
 }
 
 } // namespace ospreystage
--- a/src/core/line_ring.cpp
+++ b/src/core/line_ring.cpp
@@ -8,8 +8,9 @@
 
 bool line_ring::push(std::string line, bool is_failure) {
     const absl::MutexLock lock(&mutex_);
-    const std::size_t room = is_failure ? capacity_bytes_ : capacity_bytes_ / 2;
-    if (bytes_ + line.size() > room)
+    const std::size_t allowed_bytes =
+        is_failure ? capacity_bytes_ : capacity_bytes_ / 2;
+    if (bytes_ + line.size() > allowed_bytes)
         return false;
     bytes_ += line.size();
     lines_.push_back(std::move(line));
@@ -50,10 +51,10 @@
 }
 
 bool line_quota::take(const std::string& kind, instant now) {
-    window& current = kinds_[kind];
+    window& current = windows_[kind];
     if (now - current.started >= seconds(1))
         current = {now, 0};
-    if (current.lines >= limit_)
+    if (current.lines >= lines_per_second_)
         return false;
     ++current.lines;
     return true;
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -27,12 +27,12 @@
 
 /// Lines that wait for standard output: some 4,000 of 240 bytes, the mean of
 /// the incidents' logs.
-constexpr std::size_t ring_bytes = 1024 * 1024;
+constexpr std::size_t ring_capacity_bytes = 1024 * 1024;
 /// Lines a second of one event below `warn`. On the incidents and scale-2 of
 /// both sites an entry wrote 68 at most.
 constexpr std::uint32_t lines_per_second = 1000;
 /// Interval between two lines that tell what was left out.
-constexpr seconds dropped_interval{1};
+constexpr seconds drop_report_interval{1};
 
 /// Writes each event as one JSON object; the message holds its fields.
 class json_layout : public log4cplus::Layout {
@@ -58,32 +58,32 @@
 /// Everything that the log keeps; never destroyed, since the thread that
 /// writes may be waiting for a reader when the process ends.
 struct log_state {
-    line_ring ring{ring_bytes};
+    line_ring ring{ring_capacity_bytes};
     absl::Mutex mutex;
     line_quota quota ABSL_GUARDED_BY(mutex){lines_per_second};
     std::map<std::string, std::uint64_t> dropped ABSL_GUARDED_BY(mutex);
-    instant dropped_told ABSL_GUARDED_BY(mutex){};
+    instant drops_reported_at ABSL_GUARDED_BY(mutex){};
     std::atomic<std::uint64_t> dropped_total{0};
 };
 
 log_state& state() {
-    static log_state& only = *std::make_unique<log_state>().release();
-    return only;
+    static log_state& instance = *std::make_unique<log_state>().release();
+    return instance;
 }
 
 /// Copies lines to standard output for as long as the process lives.
 void write_lines() {
     for (;;) {
         const std::string text = state().ring.take();
-        std::string_view rest = text;
-        while (!rest.empty()) {
+        std::string_view remaining = text;
+        while (!remaining.empty()) {
             const ssize_t count =
-                ::write(STDOUT_FILENO, rest.data(), rest.size());
+                ::write(STDOUT_FILENO, remaining.data(), remaining.size());
             if (count < 0 && errno == EINTR)
                 continue;
             if (count < 0)
                 break; // Nobody is left to tell.
-            rest.remove_prefix(static_cast<std::size_t>(count));
+            remaining.remove_prefix(static_cast<std::size_t>(count));
         }
         state().ring.on_written();
     }
@@ -91,16 +91,16 @@
 
 /// Starts the thread that writes; signals are left to the others.
 bool start_writer() {
-    sigset_t all;
-    sigset_t before;
-    sigfillset(&all);
-    pthread_sigmask(SIG_SETMASK, &all, &before);
+    sigset_t all_signals;
+    sigset_t previous_mask;
+    sigfillset(&all_signals);
+    pthread_sigmask(SIG_SETMASK, &all_signals, &previous_mask);
     std::thread(write_lines).detach();
-    pthread_sigmask(SIG_SETMASK, &before, nullptr);
+    pthread_sigmask(SIG_SETMASK, &previous_mask, nullptr);
     return true;
 }
 
-void note_no_room() {
+void count_overflow() {
     ++state().dropped_total;
     const absl::MutexLock lock(&state().mutex);
     ++state().dropped["no_room"];
@@ -122,11 +122,11 @@
         const bool is_failure =
             event.getLogLevel() >= log4cplus::WARN_LOG_LEVEL;
         if (!state().ring.push(line.str(), is_failure))
-            note_no_room();
+            count_overflow();
     }
 };
 
-log4cplus::LogLevel to_library_level(log_level level) {
+log4cplus::LogLevel to_log4cplus_level(log_level level) {
     constexpr std::array<log4cplus::LogLevel, 5> levels{
         log4cplus::TRACE_LOG_LEVEL, log4cplus::DEBUG_LOG_LEVEL,
         log4cplus::INFO_LOG_LEVEL, log4cplus::WARN_LOG_LEVEL,
@@ -143,7 +143,7 @@
     nlohmann::json line = fields;
     line["event"] = event;
     root().forcedLog(
-        to_library_level(level),
+        to_log4cplus_level(level),
         line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
@@ -151,13 +151,14 @@
 
 /// Counts a line; returns false if it is to be left out, and in `told` what was
 /// left out before, if it is time to tell it.
-bool admit(log_level level, const std::string& event, dropped_counts& told) {
+bool admit(log_level level, const std::string& event,
+           dropped_counts& newly_dropped) {
     const instant now = steady::now();
     const absl::MutexLock lock(&state().mutex);
     if (!state().dropped.empty() &&
-        now - state().dropped_told >= dropped_interval) {
-        state().dropped_told = now;
-        told = std::exchange(state().dropped, {});
+        now - state().drops_reported_at >= drop_report_interval) {
+        state().drops_reported_at = now;
+        newly_dropped = std::exchange(state().dropped, {});
     }
     if (level >= log_level::warn || state().quota.take(event, now))
         return true;
@@ -180,33 +181,34 @@
     return log_level::info;
 }
 
-void start_logging(const process_id& self, log_level least) {
-    static const log4cplus::Initializer library;
+void start_logging(const process_id& self, log_level min_level) {
+    static const log4cplus::Initializer initializer;
     const log4cplus::SharedAppenderPtr appender(new ring_appender());
     appender->setLayout(std::make_unique<json_layout>(to_string(self)));
     root().removeAllAppenders();
     root().addAppender(appender);
-    root().setLogLevel(to_library_level(least));
+    root().setLogLevel(to_log4cplus_level(min_level));
     static const bool is_started = start_writer();
     static_cast<void>(is_started);
 }
 
 void log_event(log_level level, const std::string& event,
                const nlohmann::json& fields) {
-    if (!root().isEnabledFor(to_library_level(level)) ||
+    if (!root().isEnabledFor(to_log4cplus_level(level)) ||
         root().getAllAppenders().empty())
         return;
-    dropped_counts told;
-    const bool is_admitted = admit(level, event, told);
-    if (!told.empty())
-        write_event(log_level::warn, "log_lines_dropped", {{"lines", told}});
+    dropped_counts newly_dropped;
+    const bool is_admitted = admit(level, event, newly_dropped);
+    if (!newly_dropped.empty())
+        write_event(log_level::warn, "log_lines_dropped",
+                    {{"lines", newly_dropped}});
     if (is_admitted)
         write_event(level, event, fields);
 }
 
 void print_line(const std::string& text) {
     if (!state().ring.push(text + "\n", true))
-        note_no_room();
+        count_overflow();
 }
 
 std::uint64_t dropped_log_lines() noexcept {
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr unsigned bucket_count = 24;
-constexpr double shortest_seconds = 0.0005;
-constexpr double longest_seconds = 60.0;
+constexpr double min_bucket_seconds = 0.0005;
+constexpr double max_bucket_seconds = 60.0;
 
 } // namespace
 
@@ -22,10 +22,11 @@
     const absl::MutexLock lock(&mutex_);
     auto found = histograms_.find(name);
     if (found == histograms_.end()) {
-        series fresh{boost::histogram::make_histogram(
-                         axis(bucket_count, shortest_seconds, longest_seconds)),
-                     0, 0};
-        found = histograms_.emplace(name, std::move(fresh)).first;
+        series new_series{
+            boost::histogram::make_histogram(
+                axis(bucket_count, min_bucket_seconds, max_bucket_seconds)),
+            0, 0};
+        found = histograms_.emplace(name, std::move(new_series)).first;
     }
     found->second.buckets(in_seconds);
     found->second.sum += in_seconds;
@@ -45,11 +46,12 @@
     for (const auto& [name, source] : gauges_)
         out += fmt::format("{} {}\n", name, source());
     for (const auto& [name, values] : histograms_) {
-        double below = values.buckets.at(-1);
+        double cumulative = values.buckets.at(-1);
         for (int index = 0; index < static_cast<int>(bucket_count); ++index) {
-            below += values.buckets.at(index);
+            cumulative += values.buckets.at(index);
             out += fmt::format("{}_bucket{{le=\"{:.6g}\"}} {}\n", name,
-                               values.buckets.axis().bin(index).upper(), below);
+                               values.buckets.axis().bin(index).upper(),
+                               cumulative);
         }
         out += fmt::format("{}_bucket{{le=\"+Inf\"}} {}\n", name, values.count);
         out += fmt::format("{}_sum {}\n", name, values.sum);
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -13,13 +13,13 @@
 
 using impl::table_reader;
 
-constexpr std::uint64_t max_link_rate = 1'000'000'000'000;
+constexpr std::uint64_t max_link_bytes_per_second = 1'000'000'000'000;
 constexpr std::uint32_t max_origin_copies = 16;
 constexpr std::uint32_t max_origin_readers = 256;
 constexpr std::uint32_t max_origin_requests = 16;
 constexpr std::uint32_t max_threads = 4096;
-constexpr std::uint32_t max_queue = 100'000;
-constexpr std::size_t max_body = 4 * 1024 * 1024;
+constexpr std::uint32_t max_queue_length = 100'000;
+constexpr std::size_t max_body_size = 4 * 1024 * 1024;
 constexpr std::size_t max_witnesses = 15;
 
 bool is_url(const std::string& text) {
@@ -28,7 +28,7 @@
            parse_address(text.substr(scheme.size())).has_value();
 }
 
-std::string url(table_reader& section, const char* key, bool required) {
+std::string read_url(table_reader& section, const char* key, bool required) {
     std::string value = required ? section.text(key) : section.text(key, "");
     if (!value.empty() && !is_url(value))
         section.report(key, "must be \"http://host:port\"");
@@ -110,8 +110,8 @@
 
 settings::platform_section read_platform(table_reader section) {
     settings::platform_section out;
-    out.kv_url = url(section, "kv_url", true);
-    out.vm_list_url = url(section, "vm_list_url", false);
+    out.kv_url = read_url(section, "kv_url", true);
+    out.vm_list_url = read_url(section, "vm_list_url", false);
     out.watchers_per_data_centre = section.number32(
         "watchers_per_data_centre", 1, 16, out.watchers_per_data_centre);
     out.call_timeout = section.duration("call_timeout", milliseconds(50),
@@ -126,10 +126,10 @@
 settings::backend_server_section read_backend_server(table_reader section,
                                                      bool required) {
     settings::backend_server_section out;
-    out.url = url(section, "url", required);
+    out.url = read_url(section, "url", required);
     out.kind = section.choice("kind", {"engine", "plain"}, out.kind);
     out.capacity = section.number32("capacity", 1, max_threads, out.capacity);
-    out.queue = section.number32("queue", 0, max_queue, out.queue);
+    out.queue = section.number32("queue", 0, max_queue_length, out.queue);
     out.checks_fencing = section.flag("checks_fencing", out.checks_fencing);
     section.finish();
     return out;
@@ -138,8 +138,9 @@
 settings::distribution_section read_distribution(table_reader section) {
     settings::distribution_section out;
     out.chunk_folder = section.text("chunk_folder", "");
-    out.link_bytes_per_second = section.number(
-        "link_bytes_per_second", 0, max_link_rate, out.link_bytes_per_second);
+    out.link_bytes_per_second =
+        section.number("link_bytes_per_second", 0, max_link_bytes_per_second,
+                       out.link_bytes_per_second);
     out.shared_directions =
         section.flag("shared_directions", out.shared_directions);
     out.origin_copies = section.number32("origin_copies", 1, max_origin_copies,
@@ -156,13 +157,13 @@
 
 settings::requests_section read_requests(table_reader section) {
     settings::requests_section out;
-    out.queue = section.number32("queue", 1, max_queue, out.queue);
+    out.queue = section.number32("queue", 1, max_queue_length, out.queue);
     out.retry_percent =
         section.number32("retry_percent", 0, 100, out.retry_percent);
     out.routing = section.choice(
         "routing", {"two_choice", "round_robin", "random"}, out.routing);
-    out.max_body_bytes =
-        section.number("max_body_bytes", 1024, max_body, out.max_body_bytes);
+    out.max_body_bytes = section.number("max_body_bytes", 1024, max_body_size,
+                                        out.max_body_bytes);
     section.finish();
     return out;
 }
@@ -170,12 +171,12 @@
 std::vector<operator_settings> read_operators(table_reader& root) {
     std::vector<operator_settings> out;
     for (table_reader& reader : root.tables("operators")) {
-        operator_settings entry;
-        entry.name = reader.text("name");
-        entry.token = reader.text("token");
-        entry.organisations = reader.texts("organisations");
+        operator_settings account;
+        account.name = reader.text("name");
+        account.token = reader.text("token");
+        account.organisations = reader.texts("organisations");
         reader.finish();
-        out.push_back(std::move(entry));
+        out.push_back(std::move(account));
     }
     return out;
 }
@@ -183,15 +184,15 @@
 settings read_root(table_reader& root) {
     settings out;
     out.process = read_process(root.table("process"));
-    const bool agent = out.process.role == process_role::agent;
+    const bool is_agent = out.process.role == process_role::agent;
     out.listen = read_listen(root.table("listen"));
     out.cluster = read_cluster(root.table("cluster"));
     out.platform = read_platform(root.table("platform"));
     out.backend_server =
-        read_backend_server(root.table("backend_server"), agent);
+        read_backend_server(root.table("backend_server"), is_agent);
     table_reader origin = root.table("origin");
-    out.origin.url =
-        url(origin, "url", agent && out.backend_server.kind == "engine");
+    out.origin.url = read_url(origin, "url",
+                              is_agent && out.backend_server.kind == "engine");
     origin.finish();
     out.distribution = read_distribution(root.table("distribution"));
     out.requests = read_requests(root.table("requests"));
@@ -206,11 +207,11 @@
                                       const std::string& file) {
     try {
         const toml::table parsed = toml::parse(toml, file);
-        std::optional<error> fault;
-        table_reader root(&parsed, "", file, fault);
+        std::optional<error> first_error;
+        table_reader root(&parsed, "", file, first_error);
         settings value = read_root(root);
-        if (fault)
-            return leaf::new_error(*fault);
+        if (first_error)
+            return leaf::new_error(*first_error);
         return value;
     } catch (const toml::parse_error& problem) {
         return fail(error_code::malformed, "settings.parse", file,
--- a/src/core/table_reader.cpp
+++ b/src/core/table_reader.cpp
@@ -28,12 +28,14 @@
 } // namespace
 
 table_reader::table_reader(const toml::table* table, std::string path,
-                           const std::string& file, std::optional<error>& fault)
-    : table_(table), path_(std::move(path)), file_(file), fault_(fault) {}
+                           const std::string& file,
+                           std::optional<error>& first_error)
+    : table_(table), path_(std::move(path)), file_(file),
+      first_error_(first_error) {}
 
 std::string table_reader::text(const char* key,
                                const std::optional<std::string>& fallback) {
-    const toml::node* found = node(key);
+    const toml::node* found = find_node(key);
     if (found == nullptr) {
         if (!fallback)
             report(key, "is missing");
@@ -59,9 +61,10 @@
     return value;
 }
 
-std::uint64_t table_reader::number(const char* key, std::uint64_t least,
-                                   std::uint64_t most, std::uint64_t fallback) {
-    const toml::node* found = node(key);
+std::uint64_t table_reader::number(const char* key, std::uint64_t min_value,
+                                   std::uint64_t max_value,
+                                   std::uint64_t fallback) {
+    const toml::node* found = find_node(key);
     if (found == nullptr)
         return fallback;
     const auto value = found->value_exact<std::int64_t>();
@@ -69,22 +72,23 @@
         report(key, "must be an integer");
         return fallback;
     }
-    if (*value < 0 || static_cast<std::uint64_t>(*value) < least ||
-        static_cast<std::uint64_t>(*value) > most) {
-        report(key, fmt::format("must be from {} to {}", least, most));
+    if (*value < 0 || static_cast<std::uint64_t>(*value) < min_value ||
+        static_cast<std::uint64_t>(*value) > max_value) {
+        report(key, fmt::format("must be from {} to {}", min_value, max_value));
         return fallback;
     }
     return static_cast<std::uint64_t>(*value);
 }
 
-std::uint32_t table_reader::number32(const char* key, std::uint32_t least,
-                                     std::uint32_t most,
+std::uint32_t table_reader::number32(const char* key, std::uint32_t min_value,
+                                     std::uint32_t max_value,
                                      std::uint32_t fallback) {
-    return static_cast<std::uint32_t>(number(key, least, most, fallback));
+    return static_cast<std::uint32_t>(
+        number(key, min_value, max_value, fallback));
 }
 
 bool table_reader::flag(const char* key, bool fallback) {
-    const toml::node* found = node(key);
+    const toml::node* found = find_node(key);
     if (found == nullptr)
         return fallback;
     const auto value = found->value_exact<bool>();
@@ -93,9 +97,10 @@
     return value.value_or(fallback);
 }
 
-milliseconds table_reader::duration(const char* key, milliseconds least,
-                                    milliseconds most, milliseconds fallback) {
-    const toml::node* found = node(key);
+milliseconds table_reader::duration(const char* key, milliseconds min_value,
+                                    milliseconds max_value,
+                                    milliseconds fallback) {
+    const toml::node* found = find_node(key);
     if (found == nullptr)
         return fallback;
     const auto raw = found->value_exact<std::string>();
@@ -104,9 +109,9 @@
         report(key, "must be a duration such as \"500ms\", \"2s\", \"10min\"");
         return fallback;
     }
-    if (*value < least || *value > most)
-        report(key, fmt::format("must be from {} ms to {} ms", least.count(),
-                                most.count()));
+    if (*value < min_value || *value > max_value)
+        report(key, fmt::format("must be from {} ms to {} ms",
+                                min_value.count(), max_value.count()));
     return *value;
 }
 
@@ -120,7 +125,7 @@
 
 std::vector<std::string> table_reader::texts(const char* key) {
     std::vector<std::string> values;
-    const toml::node* found = node(key);
+    const toml::node* found = find_node(key);
     if (found == nullptr)
         return values;
     const toml::array* array = found->as_array();
@@ -139,7 +144,7 @@
 
 std::vector<table_reader> table_reader::tables(const char* key) {
     std::vector<table_reader> readers;
-    const toml::node* found = node(key);
+    const toml::node* found = find_node(key);
     if (found == nullptr)
         return readers;
     const toml::array* array = found->as_array();
@@ -154,17 +159,17 @@
             report(key, "must be an array of tables");
         readers.emplace_back(inner,
                              fmt::format("{}{}[{}].", path_, key, index++),
-                             file_, fault_);
+                             file_, first_error_);
     }
     return readers;
 }
 
 table_reader table_reader::table(const char* key) {
-    const toml::node* found = node(key);
+    const toml::node* found = find_node(key);
     const toml::table* inner = found == nullptr ? nullptr : found->as_table();
     if (found != nullptr && inner == nullptr)
         report(key, "must be a table");
-    return {inner, path_ + key + ".", file_, fault_};
+    return {inner, path_ + key + ".", file_, first_error_};
 }
 
 void table_reader::finish() {
@@ -172,35 +177,36 @@
         return;
     for (const auto& [key, value] : *table_) {
         const std::string name{key.str()};
-        if (!read_.contains(name))
-            report_at(value.source(), name, "is not a known key");
+        if (!read_keys_.contains(name))
+            record_error(value.source(), name, "is not a known key");
     }
 }
 
 void table_reader::report(const char* key, const std::string& detail) {
     const toml::node* found = table_ == nullptr ? nullptr : table_->get(key);
     if (found != nullptr)
-        report_at(found->source(), key, detail);
+        record_error(found->source(), key, detail);
     else if (table_ != nullptr)
-        report_at(table_->source(), key, detail);
+        record_error(table_->source(), key, detail);
     else
-        report_at({}, key, detail);
+        record_error({}, key, detail);
 }
 
-const toml::node* table_reader::node(const char* key) {
-    read_.insert(key);
+const toml::node* table_reader::find_node(const char* key) {
+    read_keys_.insert(key);
     return table_ == nullptr ? nullptr : table_->get(key);
 }
 
-void table_reader::report_at(const toml::source_region& where,
-                             const std::string& key,
-                             const std::string& detail) {
-    if (fault_)
+void table_reader::record_error(const toml::source_region& region,
+                                const std::string& key,
+                                const std::string& detail) {
+    if (first_error_)
         return;
-    const std::string place =
-        where.begin ? fmt::format("{}:{}", file_, where.begin.line) : file_;
-    fault_ = error{error_code::invalid_argument, "settings.check", file_,
-                   fmt::format("{}: {}{} {}", place, path_, key, detail)};
+    const std::string location =
+        region.begin ? fmt::format("{}:{}", file_, region.begin.line) : file_;
+    first_error_ =
+        error{error_code::invalid_argument, "settings.check", file_,
+              fmt::format("{}: {}{} {}", location, path_, key, detail)};
 }
 
 } // namespace ospreystage::impl
--- a/src/core/worker_pool.cpp
+++ b/src/core/worker_pool.cpp
@@ -14,7 +14,7 @@
     {
         const absl::MutexLock lock(&mutex_);
         stopping_ = true;
-        waiting_.clear();
+        pending_.clear();
     }
     for (std::thread& thread : threads_)
         thread.join();
@@ -23,21 +23,21 @@
 void worker_pool::run(task work) {
     const absl::MutexLock lock(&mutex_);
     if (!stopping_)
-        waiting_.push_back(std::move(work));
+        pending_.push_back(std::move(work));
 }
 
 void worker_pool::work() {
-    const auto ready = [this]() ABSL_SHARED_LOCKS_REQUIRED(mutex_) {
-        return stopping_ || !waiting_.empty();
+    const auto is_ready = [this]() ABSL_SHARED_LOCKS_REQUIRED(mutex_) {
+        return stopping_ || !pending_.empty();
     };
     for (;;) {
         task next;
         {
-            const absl::MutexLock lock(&mutex_, absl::Condition(&ready));
+            const absl::MutexLock lock(&mutex_, absl::Condition(&is_ready));
             if (stopping_)
                 return;
-            next = std::move(waiting_.front());
-            waiting_.pop_front();
+            next = std::move(pending_.front());
+            pending_.pop_front();
         }
         next();
     }
--- a/src/store/kv_client.cpp
+++ b/src/store/kv_client.cpp
@@ -17,7 +17,7 @@
 constexpr int first_server_error = 500;
 
 /// A server error may follow a write that took effect; a refusal may not.
-error_code code_of(int status) noexcept {
+error_code to_error_code(int status) noexcept {
     if (status >= first_server_error)
         return error_code::unknown_effect;
     return status == status_too_many_requests ? error_code::overloaded
@@ -25,7 +25,7 @@
 }
 
 /// A call that did not even connect has changed nothing.
-error_code code_of(httplib::Error failure) noexcept {
+error_code to_error_code(httplib::Error failure) noexcept {
     switch (failure) {
     case httplib::Error::Connection:
     case httplib::Error::ConnectionTimeout:
@@ -43,10 +43,10 @@
     const auto kvs = range.find("kvs");
     if (kvs == range.end() || kvs->empty())
         return std::nullopt;
-    return impl::entry_of(kvs->front());
+    return impl::parse_kv_entry(kvs->front());
 }
 
-std::optional<kv_entry> failure_entry(const json_value& answer) {
+std::optional<kv_entry> conflicting_entry(const json_value& answer) {
     const auto responses = answer.find("responses");
     if (responses == answer.end() || responses->empty())
         return std::nullopt;
@@ -74,7 +74,7 @@
         kv_reading reading;
         reading.entry = first_entry(answer);
         reading.store_revision =
-            impl::int64_of(answer.at("header"), "revision");
+            impl::read_int64(answer.at("header"), "revision");
         return reading;
     } catch (const std::exception& problem) {
         return fail(error_code::malformed, "kv.read", url_, problem.what());
@@ -84,21 +84,22 @@
 leaf::result<kv_write_outcome>
 kv_client::write_if(const std::string& key, std::int64_t expected,
                     const std::string& value) const {
-    const std::string name = impl::to_base64(key);
+    const std::string encoded_key = impl::to_base64(key);
     json_value body;
-    body["compare"] = {{{"key", name},
+    body["compare"] = {{{"key", encoded_key},
                         {"target", "MOD"},
                         {"result", "EQUAL"},
                         {"mod_revision", std::to_string(expected)}}};
     body["success"] = {
-        {{"request_put", {{"key", name}, {"value", impl::to_base64(value)}}}}};
-    body["failure"] = {{{"request_range", {{"key", name}}}}};
+        {{"request_put",
+          {{"key", encoded_key}, {"value", impl::to_base64(value)}}}}};
+    body["failure"] = {{{"request_range", {{"key", encoded_key}}}}};
     BOOST_LEAF_AUTO(text, post("/v3/kv/txn", body.dump(), "kv.write"));
     try {
         const auto answer = json_value::parse(text);
         if (answer.value("succeeded", false))
             return kv_write_outcome(kv_written{});
-        return kv_write_outcome(kv_conflict{failure_entry(answer)});
+        return kv_write_outcome(kv_conflict{conflicting_entry(answer)});
     } catch (const std::exception& problem) {
         return fail(error_code::unknown_effect, "kv.write", url_,
                     problem.what());
@@ -122,10 +123,10 @@
     client.set_write_timeout(call_timeout_);
     const auto answer = client.Post(path, body, "application/json");
     if (!answer)
-        return fail(code_of(answer.error()), step, url_,
+        return fail(to_error_code(answer.error()), step, url_,
                     httplib::to_string(answer.error()));
     if (answer->status != status_ok)
-        return fail(code_of(answer->status), step, url_,
+        return fail(to_error_code(answer->status), step, url_,
                     "status " + std::to_string(answer->status));
     return answer->body;
 }
--- a/src/store/kv_json.cpp
+++ b/src/store/kv_json.cpp
@@ -17,7 +17,7 @@
     return bytes;
 }
 
-std::int64_t int64_of(const nlohmann::json& object, const char* name) {
+std::int64_t read_int64(const nlohmann::json& object, const char* name) {
     const auto found = object.find(name);
     if (found == object.end())
         return 0;
@@ -26,8 +26,8 @@
     return found->get<std::int64_t>();
 }
 
-kv_entry entry_of(const nlohmann::json& kv) {
-    return {from_base64(kv.value("value", "")), int64_of(kv, "mod_revision")};
+kv_entry parse_kv_entry(const nlohmann::json& kv) {
+    return {from_base64(kv.value("value", "")), read_int64(kv, "mod_revision")};
 }
 
 } // namespace ospreystage::impl
--- a/src/store/kv_watch.cpp
+++ b/src/store/kv_watch.cpp
@@ -18,24 +18,26 @@
 
 /// A connection is replaced after this many silence limits even if it is not
 /// silent, so that a read verifies what it reported.
-constexpr int longest_watch_limits = 4;
+constexpr int max_watch_silence_timeouts = 4;
 
 constexpr std::size_t max_line_bytes = 4 * 1024 * 1024;
 
-std::string create_request(const std::string& key, std::int64_t next) {
-    const json_value body{{"create_request",
-                           {{"key", impl::to_base64(key)},
-                            {"start_revision", std::to_string(next)}}}};
+std::string create_request(const std::string& key,
+                           std::int64_t start_revision) {
+    const json_value body{
+        {"create_request",
+         {{"key", impl::to_base64(key)},
+          {"start_revision", std::to_string(start_revision)}}}};
     return body.dump();
 }
 
 } // namespace
 
 kv_watch::kv_watch(kv_client client, std::string key,
-                   milliseconds silence_limit, entry_handler on_entry,
+                   milliseconds silence_timeout, entry_handler on_entry,
                    failure_handler on_failure)
     : client_(std::move(client)), key_(std::move(key)),
-      silence_limit_(silence_limit), on_entry_(std::move(on_entry)),
+      silence_timeout_(silence_timeout), on_entry_(std::move(on_entry)),
       on_failure_(std::move(on_failure)), thread_([this] { run(); }) {}
 
 kv_watch::~kv_watch() {
@@ -52,15 +54,15 @@
 
 void kv_watch::run() {
     while (!is_stopped()) {
-        std::int64_t next = 0;
-        if (read_key(next))
-            follow(next);
+        std::int64_t start_revision = 0;
+        if (read_key(start_revision))
+            follow(start_revision);
         else
-            pause();
+            wait_before_retry();
     }
 }
 
-bool kv_watch::read_key(std::int64_t& next) {
+bool kv_watch::read_key(std::int64_t& start_revision) {
     error failure;
     const auto reading =
         value_or_error([&] { return client_.read(key_); }, failure);
@@ -68,34 +70,35 @@
         on_failure_(failure);
         return false;
     }
-    next = reading->store_revision + 1;
+    start_revision = reading->store_revision + 1;
     on_entry_(*reading);
     return true;
 }
 
-void kv_watch::follow(std::int64_t next) {
+void kv_watch::follow(std::int64_t start_revision) {
     auto connection = std::make_shared<httplib::Client>(client_.url());
     connection->set_connection_timeout(client_.call_timeout());
     connection->set_write_timeout(client_.call_timeout());
-    connection->set_read_timeout(silence_limit_);
+    connection->set_read_timeout(silence_timeout_);
     {
         const absl::MutexLock lock(&mutex_);
         if (stopped_)
             return;
         connection_ = connection;
     }
-    const instant opened = steady::now();
+    const instant opened_at = steady::now();
     std::string buffer;
     httplib::Request request;
     request.method = "POST";
     request.path = "/v3/watch";
     request.set_header("Content-Type", "application/json");
-    request.body = create_request(key_, next);
+    request.body = create_request(key_, start_revision);
     request.content_receiver = [&](const char* data, std::size_t size,
                                    std::uint64_t, std::uint64_t) {
         buffer.append(data, size);
-        return take_lines(buffer) && !is_stopped() &&
-               steady::now() - opened < longest_watch_limits * silence_limit_;
+        return process_lines(buffer) && !is_stopped() &&
+               steady::now() - opened_at <
+                   max_watch_silence_timeouts * silence_timeout_;
     };
     const auto answer = connection->send(request);
     {
@@ -103,38 +106,38 @@
         connection_.reset();
     }
     // A watch that lasted ended by silence or age; one that did not, failed.
-    if (steady::now() - opened >= silence_limit_ || is_stopped())
+    if (steady::now() - opened_at >= silence_timeout_ || is_stopped())
         return;
     on_failure_({error_code::unavailable, "kv.watch", client_.url(),
                  answer ? "status " + std::to_string(answer->status)
                         : httplib::to_string(answer.error())});
-    pause();
+    wait_before_retry();
 }
 
-bool kv_watch::take_lines(std::string& buffer) {
+bool kv_watch::process_lines(std::string& buffer) {
     for (;;) {
         const std::size_t end = buffer.find('\n');
         if (end == std::string::npos)
             return buffer.size() <= max_line_bytes;
         const std::string line = buffer.substr(0, end);
         buffer.erase(0, end + 1);
-        if (!line.empty() && !take_line(line))
+        if (!line.empty() && !process_line(line))
             return false;
     }
 }
 
-bool kv_watch::take_line(const std::string& line) {
+bool kv_watch::process_line(const std::string& line) {
     try {
         const auto parsed = json_value::parse(line);
         const json_value& result = parsed.at("result");
         if (result.value("canceled", false))
             return false;
-        const std::int64_t revision = impl::int64_of(
+        const std::int64_t revision = impl::read_int64(
             result.value("header", json_value::object()), "revision");
         for (const json_value& event :
              result.value("events", json_value::array())) {
             if (event.value("type", "PUT") == "PUT")
-                on_entry_({impl::entry_of(event.at("kv")), revision});
+                on_entry_({impl::parse_kv_entry(event.at("kv")), revision});
         }
         return true;
     } catch (const std::exception& problem) {
@@ -149,7 +152,7 @@
     return stopped_;
 }
 
-void kv_watch::pause() {
+void kv_watch::wait_before_retry() {
     const absl::MutexLock lock(&mutex_);
     mutex_.AwaitWithTimeout(absl::Condition(&stopped_), retry_delay);
 }
--- a/tests/kv_client.cpp
+++ b/tests/kv_client.cpp
@@ -44,7 +44,7 @@
         server_.Post(path, std::move(handler));
     }
     /// Sleeps until `time` has passed or the server stops.
-    void hang(milliseconds time) const {
+    void hold_response(milliseconds time) const {
         const instant end = steady::now() + time;
         while (!stopped_ && steady::now() < end)
             std::this_thread::sleep_for(milliseconds(5));
@@ -160,7 +160,7 @@
     gateway platform;
     platform.post("/v3/kv/txn",
                   [&](const httplib::Request&, httplib::Response&) {
-                      platform.hang(seconds(2));
+                      platform.hold_response(seconds(2));
                   });
     platform.start();
     const instant begin = steady::now();
@@ -213,9 +213,9 @@
                                          event.dump() + "\n";
                 // In two pieces, as a network may deliver it.
                 sink.write(line.data(), 40);
-                platform.hang(milliseconds(20));
+                platform.hold_response(milliseconds(20));
                 sink.write(line.data() + 40, line.size() - 40);
-                platform.hang(seconds(5));
+                platform.hold_response(seconds(5));
                 sink.done();
                 return true;
             });
@@ -249,22 +249,22 @@
             ++watches;
             answer.set_chunked_content_provider(
                 "application/json", [&](std::size_t, httplib::DataSink& sink) {
-                    platform.hang(seconds(30));
+                    platform.hold_response(seconds(30));
                     sink.done();
                     return true;
                 });
         });
     platform.start();
-    constexpr milliseconds silence_limit{300};
+    constexpr milliseconds silence_timeout{300};
     value_log log;
     {
         const kv_watch watch(
-            platform.client(), "k", silence_limit,
+            platform.client(), "k", silence_timeout,
             [&](const kv_reading& reading) { log.add(reading); },
             [](const error&) {});
         REQUIRE(log.wait_for("first", seconds(2)));
         changed = true;
-        CHECK(log.wait_for("second", 4 * silence_limit));
+        CHECK(log.wait_for("second", 4 * silence_timeout));
     }
     CHECK(watches >= 1);
     platform.stop();
--- a/tests/line_ring.cpp
+++ b/tests/line_ring.cpp
@@ -17,10 +17,10 @@
 
 TEST_CASE("line ring - without a reader it keeps to its size") {
     line_ring ring(1000);
-    int kept = 0;
+    int accepted = 0;
     for (int line = 0; line < 10'000; ++line)
-        kept += ring.push("0123456789", false) ? 1 : 0;
-    CHECK(kept == 50);
+        accepted += ring.push("0123456789", false) ? 1 : 0;
+    CHECK(accepted == 50);
     // Failures still have the other half.
     CHECK(ring.push("failure", true));
     while (ring.push("0123456789", true))
@@ -45,10 +45,10 @@
 TEST_CASE("line quota - one kind does not use up what another may write") {
     line_quota quota(3);
     const instant start = steady::now();
-    int kept = 0;
+    int accepted = 0;
     for (int line = 0; line < 10; ++line)
-        kept += quota.take("often", start) ? 1 : 0;
-    CHECK(kept == 3);
+        accepted += quota.take("often", start) ? 1 : 0;
+    CHECK(accepted == 3);
     CHECK(quota.take("rare", start));
     CHECK(quota.take("often", start + seconds(1)));
 }
