--- a/include/ospreystage/core/address.hpp
+++ b/include/ospreystage/core/address.hpp
@@ -7,7 +7,7 @@
 
 namespace ospreystage {
 
-/// Network endpoint of a process: an IP number and a port.
+/// Network endpoint of a process: an IPv4 address and a port.
 struct address {
     std::string host; ///< Numeric IPv4 address.
     std::uint16_t port = 0;
@@ -22,7 +22,8 @@
 /// Formats as `host:port`.
 [[nodiscard]] std::string to_string(const address& endpoint);
 
-/// Parses `host:port`; returns nothing if the form is wrong.
+/// Parses `host:port`; returns nothing if the host is empty or the port is not
+/// a number from 1 to 65535. The host itself is not checked.
 [[nodiscard]] std::optional<address> parse_address(const std::string& text);
 
 } // namespace ospreystage
--- a/include/ospreystage/core/clock.hpp
+++ b/include/ospreystage/core/clock.hpp
@@ -4,9 +4,10 @@
 
 namespace ospreystage {
 
-/// Monotonic clock that every deadline, lease and timer is measured with.
+/// Monotonic clock for all deadlines, leases and timers.
 ///
-/// It is never sent to another process: messages carry durations.
+/// Its time points mean nothing to another process, so messages carry
+/// durations instead.
 using steady = std::chrono::steady_clock;
 
 /// Point in time on the local monotonic clock.
--- a/include/ospreystage/core/error.hpp
+++ b/include/ospreystage/core/error.hpp
@@ -11,18 +11,18 @@
 
 namespace leaf = boost::leaf;
 
-/// Kind of a failure; decides whether the caller may retry.
+/// Category of a failure; determines whether the caller may retry.
 enum class error_code {
-    invalid_argument, ///< Input that no retry can make valid.
-    unauthorized,     ///< Token missing or wrong.
+    invalid_argument, ///< The input is invalid; a retry fails as well.
+    unauthorized,     ///< The token is missing or wrong.
     not_found,        ///< The named object does not exist.
-    conflict,         ///< A compare-and-swap lost against another writer.
-    too_large,        ///< A length limit was passed.
+    conflict,         ///< Another writer won the compare-and-swap.
+    too_large,        ///< A length limit was exceeded.
     malformed,        ///< A frame or document could not be decoded.
-    unavailable,      ///< The peer could not be reached; nothing was done.
+    unavailable,      ///< The peer is unreachable; the call had no effect.
     unknown_effect,   ///< The call may or may not have taken effect.
-    timeout,          ///< The deadline passed first.
-    overloaded,       ///< A queue or a budget is full.
+    timeout,          ///< The deadline expired before an answer.
+    overloaded,       ///< A queue is full or a budget is used up.
 };
 
 /// Returns the code's name as it appears in logs and JSON.
@@ -32,8 +32,8 @@
 struct error {
     error_code code = error_code::invalid_argument;
     std::string step;   ///< Operation that failed, e.g. `kv.txn`.
-    std::string peer;   ///< Process or URL it failed against, or empty.
-    std::string detail; ///< What was seen, in one line.
+    std::string peer;   ///< Process or URL that was called, or empty.
+    std::string detail; ///< Description of the failure, in one line.
 
     friend bool operator==(const error&, const error&) = default;
 };
@@ -41,13 +41,15 @@
 /// Formats the error as one line: `step (peer): code: detail`.
 [[nodiscard]] std::string to_string(const error& failure);
 
-/// Makes a failed result that carries `code`, `step`, `peer` and `detail`.
+/// Creates a failed result that carries an `error` with the given fields.
 [[nodiscard]] leaf::error_id fail(error_code code, std::string step,
                                   std::string peer, std::string detail);
 
-/// Runs `body` and splits its result into a value or an `error`.
+/// Runs `body`; returns its value, or nothing and sets `failure`.
 ///
-/// Use it at the border between results and plain callbacks:
+/// Converts results for callers that do not return `leaf::result`, such as
+/// callbacks. A failure that carries no `error` is reported with the step
+/// `unspecified`.
 ///
 ///     error failure;
 ///     auto document = value_or_error([&] { return parse(text); }, failure);
--- a/include/ospreystage/core/ids.hpp
+++ b/include/ospreystage/core/ids.hpp
@@ -7,10 +7,10 @@
 
 namespace ospreystage {
 
-/// One run of a process: its configured name and its incarnation.
+/// Identifies one run of a process by its configured name and incarnation.
 ///
-/// The incarnation grows with every start of the same name, so that nothing
-/// sent to or by an earlier run is taken for a message of this one.
+/// The incarnation increases with every start under the same name, so that
+/// messages to or from an earlier run are told apart from those of this run.
 struct process_id {
     std::string name;
     std::uint64_t incarnation = 0; ///< Microseconds since the epoch at start.
@@ -28,7 +28,9 @@
     }
 };
 
-/// One try of one request: the entry that made it and a number of its own.
+/// Identifies one attempt at a request by its entry and a sequence number.
+///
+/// The sequence number is unique within the run of the entry.
 ///
 /// An attempt is dispatched to at most one agent, at most once.
 struct attempt_id {
@@ -48,24 +50,25 @@
     }
 };
 
-/// Number of an accepted rollout document; 0 means none was accepted yet.
+/// Revision number of an accepted rollout document; 0 if there is none yet.
 using revision = std::uint64_t;
 
-/// SHA-256 in lower-case hexadecimal (64 characters).
+/// SHA-256 digest in lower-case hexadecimal (64 characters).
 ///
-/// The digest of a manifest is the identity of a model version.
+/// The digest of its manifest identifies a model version.
 using digest = std::string;
 
-/// Computes the SHA-256 of `bytes`.
+/// Computes the SHA-256 of the `size` bytes at `bytes`.
 [[nodiscard]] digest sha256(const void* bytes, std::size_t size);
 
 /// Computes the SHA-256 of `text`.
 [[nodiscard]] digest sha256(const std::string& text);
 
-/// Returns true if `text` has the form of a digest.
+/// Returns true if `text` consists of 64 lower-case hexadecimal digits.
 [[nodiscard]] bool is_digest(const std::string& text) noexcept;
 
-/// Returns the incarnation for a process that starts now.
+/// Returns an incarnation from the system clock, in microseconds since the
+/// epoch.
 [[nodiscard]] std::uint64_t new_incarnation();
 
 /// Formats as `name#incarnation`.
@@ -74,10 +77,10 @@
 /// Formats as `name#incarnation/sequence`.
 [[nodiscard]] std::string to_string(const attempt_id& id);
 
-/// Orders `candidates` by rendezvous (highest random weight) hash of `key`.
+/// Orders `candidates` by the rendezvous (highest random weight) hash of `key`.
 ///
-/// Every process that knows the same candidates computes the same order, and
-/// removing a candidate moves only the keys that it was first for.
+/// Processes with the same candidates compute the same order. Removing a
+/// candidate changes the first choice only of the keys that ranked it first.
 [[nodiscard]] std::vector<std::string>
 rendezvous_order(const std::string& key, std::vector<std::string> candidates);
 
--- a/include/ospreystage/core/job_thread.hpp
+++ b/include/ospreystage/core/job_thread.hpp
@@ -9,20 +9,20 @@
 
 namespace ospreystage {
 
-/// Runs blocking jobs one after another on a thread of its own.
+/// Runs blocking jobs in order on a dedicated thread.
 class job_thread {
   public:
     using job = std::function<void()>;
 
-    /// Starts the thread.
     job_thread();
 
-    /// Drops jobs that have not started and waits for the running one.
+    /// Drops jobs that have not started and waits for the running job.
     ~job_thread();
     job_thread(const job_thread&) = delete;
     job_thread& operator=(const job_thread&) = delete;
 
-    /// Queues a job; may be called from any thread.
+    /// Queues a job, or drops it if the destructor has begun. Safe from any
+    /// thread.
     void run(job work);
 
   private:
--- a/include/ospreystage/core/kernel.hpp
+++ b/include/ospreystage/core/kernel.hpp
@@ -23,13 +23,14 @@
 
 namespace ospreystage {
 
-/// Addresses a timer of the kernel.
+/// Identifies a timer of the kernel.
 enum class timer_id : std::uint64_t {};
 
-/// Micro-kernel of a process: services by name, their queues and one thread.
+/// Event loop of a process, with a registry of named services.
 ///
-/// Every service runs on the thread that calls `run`, so that services need
-/// no locks of their own. Other threads hand work over with `post` or `call`.
+/// Tasks, timers and descriptor handlers run on the thread that calls `run`
+/// (the kernel thread), so services need no locks. Other threads submit work
+/// with `post` or `call`.
 ///
 ///     kernel core;
 ///     core.add("router", std::make_unique<router>(core));
@@ -47,75 +48,87 @@
     kernel(const kernel&) = delete;
     kernel& operator=(const kernel&) = delete;
 
-    /// Adds a service; it must have `nlohmann::json dump() const`.
+    /// Registers a service, which must have `nlohmann::json dump() const`.
     ///
-    /// Only before `run`. Throws `std::logic_error` if the name is taken.
+    /// Call it before `run` only. Throws `std::logic_error` if the name is
+    /// already registered.
     template <typename Service>
     Service& add(const std::string& name, std::unique_ptr<Service> service);
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Finds a service by name; throws `std::logic_error` if there is none or
-    /// it has another type.
+    /// Returns the service called `name`; throws `std::logic_error` if there
+    /// is none or it is not a `Service`.
     template <typename Service>
     [[nodiscard]] Service& find(const std::string& name) const;
 
-    /// Finds a service by name, or returns null.
+    /// Returns the service called `name`, or null if there is none.
+    ///
+    /// Throws `std::logic_error` if it is not a `Service`.
     template <typename Service>
     [[nodiscard]] Service* find_if(const std::string& name) const;
 
-    /// Returns the state of every service and queue (kernel thread).
+    /// Returns the state and run times of every service, and the numbers of
+    /// timers and queued tasks (kernel thread).
     [[nodiscard]] nlohmann::json dump() const;
 
     // ---- Work --------------------------------------------------------------
 
-    /// Queues work for a service; may be called from any thread.
+    /// Queues work for the kernel thread and counts its run time for
+    /// `service`. Safe from any thread; drops the work if the kernel has
+    /// stopped.
     void post(const std::string& service, task work);
 
     /// Runs `body` on the kernel thread and waits for its value.
     ///
-    /// Returns nothing if the kernel stops first. Not for the kernel thread.
+    /// Returns nothing if the kernel stops first. Calling it on the kernel
+    /// thread would deadlock.
     template <typename Body>
     auto call(const std::string& service, Body body)
         -> std::optional<decltype(body())>;
 
-    /// Runs work once after `delay` (kernel thread).
+    /// Schedules work to run once after `delay` (kernel thread).
     timer_id after(const std::string& service, std::chrono::nanoseconds delay,
                    task work);
 
-    /// Runs work every `period` (kernel thread).
+    /// Schedules work to run repeatedly, each time `period` after the previous
+    /// run (kernel thread).
     void every(const std::string& service, std::chrono::nanoseconds period,
                task work);
 
-    /// Cancels a timer that has not fired (kernel thread).
+    /// Cancels a timer; has no effect if it has fired (kernel thread).
     void cancel(timer_id timer);
 
-    /// Runs work after all that is ready now, before the kernel waits again
-    /// (kernel thread); at once if the kernel has stopped.
+    /// Schedules work for the end of this iteration of the loop, after all
+    /// ready events, tasks and timers and before the next wait (kernel
+    /// thread). Runs it immediately if `run` has returned.
     void at_turn_end(task work);
 
     // ---- Descriptors -------------------------------------------------------
 
-    /// Calls `handler` when the descriptor has one of the epoll `events`.
+    /// Calls `handler` whenever one of the epoll `events` occurs on the
+    /// descriptor.
     void watch(int descriptor, std::uint32_t events,
                descriptor_handler handler);
 
     /// Changes the epoll events of a watched descriptor.
     void rewatch(int descriptor, std::uint32_t events);
 
-    /// Forgets a descriptor; the caller closes it.
+    /// Removes a descriptor from the loop; the caller closes it.
     void unwatch(int descriptor);
 
-    /// Forgets a descriptor that has no duplicate and closes it, which also
-    /// ends the system's watch.
+    /// Removes a descriptor from the loop and closes it.
+    ///
+    /// Closing also removes it from epoll, provided that the descriptor has
+    /// no duplicate.
     void close(int descriptor);
 
     // ---- Life cycle --------------------------------------------------------
 
-    /// Runs until `stop`.
+    /// Runs the loop until `stop`; drops tasks that are still queued then.
     void run();
 
-    /// Ends `run`; may be called from any thread and from signal handlers.
+    /// Makes `run` return. Safe from any thread and from signal handlers.
     void stop() noexcept;
 
   private:
@@ -154,7 +167,7 @@
         timer_index_;
     absl::flat_hash_map<int, std::shared_ptr<descriptor_handler>> watched_;
     std::vector<task> turn_end_;
-    bool run_ended_ = false; ///< Nothing runs the end of a turn any more.
+    bool run_ended_ = false; ///< `run` has run its last `turn_end_` tasks.
     std::uint64_t next_timer_ = 1;
     int epoll_descriptor_ = -1;
     int wake_descriptor_ = -1;
@@ -181,7 +194,8 @@
     if (record == nullptr)
         return nullptr;
     if (record->type != std::type_index(typeid(Service)))
-        throw std::logic_error("service " + name + " has another type");
+        throw std::logic_error("service " + name +
+                               " is registered with another type");
     return static_cast<Service*>(record->object.get());
 }
 
@@ -189,7 +203,7 @@
 Service& kernel::find(const std::string& name) const {
     Service* service = find_if<Service>(name);
     if (service == nullptr)
-        throw std::logic_error("no service " + name);
+        throw std::logic_error("no service named " + name);
     return *service;
 }
 
@@ -202,7 +216,7 @@
         std::optional<value_type> value;
     };
     auto state = std::make_shared<shared_state>();
-    // The guard notifies also when the kernel drops the task unrun.
+    // The guard also notifies if the kernel drops the task without running it.
     struct guard {
         std::shared_ptr<shared_state> state;
         explicit guard(std::shared_ptr<shared_state> shared)
--- a/include/ospreystage/core/line_ring.hpp
+++ b/include/ospreystage/core/line_ring.hpp
@@ -13,26 +13,27 @@
 
 namespace ospreystage {
 
-/// Bounded queue of log lines in front of a reader that may be slow.
+/// Bounded queue of log lines between loggers and one writer thread.
 ///
-/// `push` never waits for the reader. Lines of failures may fill all of the
-/// room, others half of it, so that failures are the last to be dropped.
+/// `push` never waits for the writer. Failure lines may use the whole
+/// capacity and other lines half of it, so that failures are dropped last.
 class line_ring {
   public:
     explicit line_ring(std::size_t capacity_bytes)
         : capacity_bytes_(capacity_bytes) {}
 
-    /// Queues a line; returns false if there is no room for it.
+    /// Queues a line; returns false and drops it if there is no room for it.
     bool push(std::string line, bool is_failure);
 
-    /// Waits for lines and takes all of them, in order.
+    /// Waits for at least one line, then removes and returns all lines in
+    /// order.
     [[nodiscard]] std::string take();
 
-    /// Tells that what `take` returned last was written.
+    /// Records that the lines from the last `take` have been written.
     void on_written();
 
-    /// Waits until every line was written; returns false if that takes longer
-    /// than `limit`.
+    /// Waits until every line has been written; returns false if that takes
+    /// longer than `limit`.
     bool wait_until_written(milliseconds limit);
 
     [[nodiscard]] std::size_t pending_bytes() const;
@@ -49,13 +50,14 @@
     bool is_writing_ ABSL_GUARDED_BY(mutex_) = false;
 };
 
-/// Limits how many lines of each kind are written a second.
+/// Limits the lines of each kind per second, in windows of one second.
 class line_quota {
   public:
     explicit line_quota(std::uint32_t lines_per_second)
         : lines_per_second_(lines_per_second) {}
 
-    /// Takes one line of a kind; returns false if it is to be left out.
+    /// Counts a line of a kind; returns false if it exceeds the limit and must
+    /// be dropped.
     [[nodiscard]] bool take(const std::string& kind, instant now);
 
   private:
--- a/include/ospreystage/core/log.hpp
+++ b/include/ospreystage/core/log.hpp
@@ -13,29 +13,31 @@
 /// Severity of a log line.
 enum class log_level { trace, debug, info, warn, error };
 
-/// Parses a level name of the settings; unknown names give `info`.
+/// Parses a level name from the settings; returns `info` for unknown names.
 [[nodiscard]] log_level parse_log_level(const std::string& name) noexcept;
 
-/// Sends JSON lines to standard output, each with the process's identity.
+/// Starts logging to standard output: one JSON object a line, with the identity
+/// of the process.
 ///
-/// Call it once, before threads start. Lines look like
-/// `{"time":"…","level":"INFO","process":"entry-1#17…","event":"…",…}`. They
-/// go through a buffer of fixed size that a thread of its own empties, so that
-/// a reader that is slow, or gone, delays nothing; what has no room is counted
-/// and left out. So are lines below `warn` beyond a number a second and event.
+/// Call it once, before other threads start. Lines look like
+/// `{"time":"…","level":"INFO","process":"entry-1#17…","event":"…",…}`.
+/// A dedicated thread writes them from a buffer of fixed size, so that a slow
+/// or closed reader of standard output delays no caller. Lines that do not fit
+/// into the buffer are dropped and counted, and so are lines below `warn` that
+/// exceed the limit per event and second.
 void start_logging(const process_id& self, log_level min_level);
 
-/// Writes one line: an event name and its fields. Safe from any thread.
+/// Logs an event with its fields as one line. Safe from any thread.
 void log_event(log_level level, const std::string& event,
                const nlohmann::json& fields = nlohmann::json::object());
 
-/// Writes a line as it is, through the same buffer.
+/// Writes `text` and a line end, unformatted, through the same buffer.
 void print_line(const std::string& text);
 
-/// Lines that were left out since the start.
+/// Returns the number of lines dropped since the start of the process.
 [[nodiscard]] std::uint64_t dropped_log_lines() noexcept;
 
-/// Waits until all lines were written, for no longer than `limit`.
+/// Waits until all lines have been written, but no longer than `limit`.
 void finish_logging(milliseconds limit = milliseconds(500));
 
 } // namespace ospreystage
--- a/include/ospreystage/core/metrics.hpp
+++ b/include/ospreystage/core/metrics.hpp
@@ -22,18 +22,20 @@
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Adds to the counter `name` (`ospreystage_…_total`), labels included.
+    /// Adds `amount` to the counter `name` (`ospreystage_…_total`); the name
+    /// includes the labels.
     void count(const std::string& name, std::uint64_t amount = 1);
 
-    /// Records a duration in the histogram `name`, in seconds.
+    /// Adds a duration to the histogram `name`, which is in seconds.
     void observe(const std::string& name, std::chrono::nanoseconds value);
 
-    /// Registers a gauge that is read when metrics are asked for.
+    /// Registers a gauge; `source` is called whenever `text` is, with the lock
+    /// held, and must not call these metrics.
     void gauge(const std::string& name, gauge_source source);
 
     // ---- Observers ---------------------------------------------------------
 
-    /// Returns everything in the text exposition format.
+    /// Returns all metrics in the Prometheus text exposition format.
     [[nodiscard]] std::string text() const;
 
     [[nodiscard]] nlohmann::json dump() const;
--- a/include/ospreystage/core/signal_watch.hpp
+++ b/include/ospreystage/core/signal_watch.hpp
@@ -6,9 +6,11 @@
 
 namespace ospreystage {
 
-/// Delivers SIGTERM, SIGINT and SIGHUP on the kernel's thread.
+/// Handles SIGTERM and SIGINT (`stop`) and SIGHUP (`reload`) on the kernel
+/// thread.
 ///
-/// Make it before any thread starts: it blocks the signals for all of them.
+/// Create it before any other thread starts, so that all threads inherit the
+/// mask that blocks these signals.
 class signal_watch {
   public:
     signal_watch(kernel& core, std::function<void()> stop,
--- a/include/ospreystage/core/stable_hash.hpp
+++ b/include/ospreystage/core/stable_hash.hpp
@@ -14,7 +14,8 @@
     return value ^ (value >> 31U);
 }
 
-/// Hashes `text` to the same value in every process (FNV-1a, finalised).
+/// Computes a hash of `text` that is the same in every process (FNV-1a with a
+/// splitmix64 finaliser).
 [[nodiscard]] constexpr std::uint64_t
 stable_hash(std::string_view text) noexcept {
     std::uint64_t value = 0xCBF29CE484222325ULL;
--- a/include/ospreystage/core/token_bucket.hpp
+++ b/include/ospreystage/core/token_bucket.hpp
@@ -7,12 +7,15 @@
 
 namespace ospreystage {
 
-/// Paces bytes to a rate; a taker may overdraw once and waits afterwards.
+/// Token bucket that limits a byte rate.
+///
+/// One `take` may exceed the balance; further bytes are available only when
+/// the rate has made up for the debt.
 class token_bucket {
   public:
     // ---- Construction ------------------------------------------------------
 
-    /// Makes an unlimited bucket.
+    /// Creates a bucket without a limit.
     token_bucket() = default;
 
     // ---- Observers ---------------------------------------------------------
@@ -24,7 +27,7 @@
         return !is_limited() || balance_ >= 0;
     }
 
-    /// Returns when `is_ready` becomes true.
+    /// Returns the time from which `is_ready` will be true.
     [[nodiscard]] instant ready_at() const noexcept {
         if (is_ready())
             return updated_at_;
@@ -35,8 +38,8 @@
 
     // ---- Modifiers ---------------------------------------------------------
 
-    /// Sets the rate in bytes per second (0: unlimited) and the largest
-    /// amount saved up in bytes.
+    /// Sets the rate in bytes per second (0: unlimited) and the maximum
+    /// balance in bytes.
     void set_rate(std::uint64_t bytes_per_second,
                   std::uint64_t burst_bytes) noexcept {
         rate_ = static_cast<double>(bytes_per_second);
@@ -44,7 +47,7 @@
         balance_ = std::min(balance_, burst_);
     }
 
-    /// Adds what the rate allows up to `now`.
+    /// Adds the bytes that the rate allows for the time until `now`.
     void advance(instant now) noexcept {
         if (now <= updated_at_)
             return;
@@ -53,12 +56,12 @@
         updated_at_ = now;
     }
 
-    /// Takes `bytes`; the balance may become negative.
+    /// Subtracts `bytes` from the balance, which may become negative.
     void take(std::uint64_t bytes) noexcept {
         balance_ -= static_cast<double>(bytes);
     }
 
-    /// Gives back `bytes` that were taken and not used.
+    /// Returns `bytes` that were taken but not used to the balance.
     void give_back(std::uint64_t bytes) noexcept {
         balance_ = std::min(burst_, balance_ + static_cast<double>(bytes));
     }
--- a/include/ospreystage/core/worker_pool.hpp
+++ b/include/ospreystage/core/worker_pool.hpp
@@ -11,7 +11,7 @@
 
 namespace ospreystage {
 
-/// Threads that run tasks in order of arrival, for work that blocks.
+/// Thread pool for blocking tasks, which start in order of submission.
 class worker_pool {
   public:
     using task = std::function<void()>;
@@ -20,14 +20,15 @@
 
     explicit worker_pool(std::uint32_t threads);
 
-    /// Drops waiting tasks and waits for running ones.
+    /// Drops pending tasks and waits for running ones.
     ~worker_pool();
     worker_pool(const worker_pool&) = delete;
     worker_pool& operator=(const worker_pool&) = delete;
 
     // ---- Work --------------------------------------------------------------
 
-    /// Queues a task; may be called from any thread.
+    /// Queues a task, or drops it if the destructor has begun. Safe from any
+    /// thread.
     void run(task work);
 
   private:
--- a/include/ospreystage/impl/bounded_archive.hpp
+++ b/include/ospreystage/impl/bounded_archive.hpp
@@ -18,7 +18,7 @@
 static_assert(std::endian::native == std::endian::little,
               "the wire format is little endian");
 
-/// Appends cereal output to a string in little-endian byte order.
+/// Cereal archive that appends to a string in little-endian byte order.
 class string_output_archive
     : public cereal::OutputArchive<string_output_archive,
                                    cereal::AllowEmptyClassElision> {
@@ -34,8 +34,10 @@
     std::string& out_;
 };
 
-/// Reads cereal input from a view. A length larger than what is left of the
-/// view throws `cereal::Exception` before anything is allocated for it.
+/// Cereal archive that reads from a view.
+///
+/// A length or element count that exceeds the remaining bytes throws
+/// `cereal::Exception` before any memory is allocated for it.
 class bounded_input_archive
     : public cereal::InputArchive<bounded_input_archive,
                                   cereal::AllowEmptyClassElision> {
@@ -45,14 +47,14 @@
 
     void read(void* data, std::size_t size) {
         if (size > in_.size())
-            throw cereal::Exception("input ends early");
+            throw cereal::Exception("input is truncated");
         std::memcpy(data, in_.data(), size);
         in_.remove_prefix(size);
     }
 
     void check_count(std::size_t count) const {
         if (count > in_.size())
-            throw cereal::Exception("length passes the end of the input");
+            throw cereal::Exception("length exceeds the remaining input");
     }
 
     [[nodiscard]] bool exhausted() const noexcept { return in_.empty(); }
--- a/include/ospreystage/impl/overloaded.hpp
+++ b/include/ospreystage/impl/overloaded.hpp
@@ -2,7 +2,7 @@
 
 namespace ospreystage::impl {
 
-/// Visitor of a variant that is made of one lambda per alternative.
+/// Variant visitor composed of one lambda per alternative.
 template <typename... Lambdas>
 struct overloaded : Lambdas... {
     using Lambdas::operator()...;
--- a/include/ospreystage/impl/table_reader.hpp
+++ b/include/ospreystage/impl/table_reader.hpp
@@ -15,19 +15,20 @@
 
 namespace ospreystage::impl {
 
-/// Reads the keys of one TOML table and remembers the first fault.
+/// Reads the keys of one TOML table and records the first error.
 ///
-/// A fault names file, line and key. After a fault every read returns its
-/// fallback, so that a reader can be written without checks in between.
+/// The error gives file, line and key. Reads continue after an error and
+/// return a value in any case, so that callers need no check after each key.
 class table_reader {
   public:
-    /// `table` may be null: every key is missing then.
+    /// `table` may be null, which means that every key is missing.
+    /// `first_error` is shared with the readers of sub-tables.
     table_reader(const toml::table* table, std::string path,
                  const std::string& file, std::optional<error>& first_error);
 
     // ---- Values ------------------------------------------------------------
 
-    /// Reads a string; without a fallback the key must be there, not empty.
+    /// Reads a string; without a fallback it must be present and not empty.
     [[nodiscard]] std::string
     text(const char* key, const std::optional<std::string>& fallback = {});
 
@@ -36,12 +37,12 @@
     choice(const char* key, const std::vector<std::string>& choices,
            const std::optional<std::string>& fallback = {});
 
-    /// Reads an integer within [least, most].
+    /// Reads an integer within [`min_value`, `max_value`].
     [[nodiscard]] std::uint64_t number(const char* key, std::uint64_t min_value,
                                        std::uint64_t max_value,
                                        std::uint64_t fallback);
 
-    /// Reads an integer of 32 bits.
+    /// Reads a 32-bit integer within [`min_value`, `max_value`].
     [[nodiscard]] std::uint32_t number32(const char* key,
                                          std::uint32_t min_value,
                                          std::uint32_t max_value,
@@ -50,29 +51,30 @@
     /// Reads a boolean.
     [[nodiscard]] bool flag(const char* key, bool fallback);
 
-    /// Reads a duration such as `"500ms"`, `"2s"` or `"10min"`.
+    /// Reads a duration such as `"500ms"`, `"2s"` or `"10min"` within
+    /// [`min_value`, `max_value`].
     [[nodiscard]] milliseconds duration(const char* key, milliseconds min_value,
                                         milliseconds max_value,
                                         milliseconds fallback);
 
-    /// Reads `"host:port"`.
+    /// Reads an address of the form `"host:port"`; it must be present.
     [[nodiscard]] address endpoint(const char* key);
 
-    /// Reads an array of strings.
+    /// Reads an array of strings; a missing key gives an empty one.
     [[nodiscard]] std::vector<std::string> texts(const char* key);
 
-    /// Returns the tables of an array of tables.
+    /// Returns a reader for each table of an array of tables.
     [[nodiscard]] std::vector<table_reader> tables(const char* key);
 
-    /// Returns a sub-table; it may be missing.
+    /// Returns a reader of a sub-table, which may be missing.
     [[nodiscard]] table_reader table(const char* key);
 
     // ---- End ---------------------------------------------------------------
 
-    /// Reports the first key that was not read.
+    /// Reports a key that is present but was not read as unknown.
     void finish();
 
-    /// Records a fault at `key`, unless there is one already.
+    /// Records an error at `key`, unless one is recorded already.
     void report(const char* key, const std::string& detail);
 
   private:
--- a/include/ospreystage/store/kv_client.hpp
+++ b/include/ospreystage/store/kv_client.hpp
@@ -10,41 +10,46 @@
 
 namespace ospreystage {
 
-/// A key's value in the platform's key-value service.
+/// Value of a key in the platform's key-value service.
 struct kv_entry {
     std::string value;
-    std::int64_t mod_revision = 0; ///< Store revision of its last write.
+    std::int64_t mod_revision = 0; ///< Store revision of the last write.
 
     friend bool operator==(const kv_entry&, const kv_entry&) = default;
 };
 
-/// Answer to a read.
+/// Result of a read.
 struct kv_reading {
     std::optional<kv_entry> entry;   ///< Nothing if the key is absent.
-    std::int64_t store_revision = 0; ///< Of the whole store at the read.
+    std::int64_t store_revision = 0; ///< Revision of the store at the read.
 };
 
 /// The compare-and-swap took effect.
 struct kv_written {};
 
-/// The compare-and-swap lost and changed nothing.
+/// The compare-and-swap failed its comparison and changed nothing.
 struct kv_conflict {
-    std::optional<kv_entry> current; ///< What the key holds instead.
+    std::optional<kv_entry> current; ///< Current value; nothing if absent.
 };
 
-/// Answer to a compare-and-swap.
+/// Result of a compare-and-swap.
 using kv_write_outcome = std::variant<kv_written, kv_conflict>;
 
-/// Calls of the etcd v3 JSON gateway; each on a connection of its own, so
-/// that no call waits on one that went silent. Blocks; safe from any thread.
+/// Blocking client of the etcd v3 JSON gateway. Safe from any thread.
+///
+/// Every call opens its own connection, so that no call has to wait on a
+/// connection that stopped responding.
 class kv_client {
   public:
-    /// `url` is `http://host:port`; `call_timeout` bounds connecting, sending
-    /// and waiting, each.
+    /// `url` has the form `http://host:port`. `call_timeout` applies
+    /// separately to connecting, sending and receiving.
     kv_client(std::string url, milliseconds call_timeout);
 
-    /// Reads a key. Fails with `unavailable`, `overloaded`,
-    /// `invalid_argument` or `malformed`.
+    /// Reads a key.
+    ///
+    /// Fails with `unavailable` if the service did not answer or answered
+    /// with a server error, with `overloaded` or `invalid_argument` if it
+    /// refused the call, and with `malformed` if its answer is not valid.
     [[nodiscard]] leaf::result<kv_reading> read(const std::string& key) const;
 
     /// Writes `value` if the key's `mod_revision` is `expected` (0: absent).
--- a/include/ospreystage/store/kv_watch.hpp
+++ b/include/ospreystage/store/kv_watch.hpp
@@ -19,24 +19,24 @@
 
 namespace ospreystage {
 
-/// Follows one key of the platform's service on a thread of its own.
+/// Watches one key of the platform's key-value service on a dedicated thread.
 ///
-/// Reads the key, then waits for events after that read. A watch connection
-/// on which nothing arrives for `silence_limit` is given up and replaced,
-/// beginning with a read again, so a connection that went silent delays a
-/// change by that time at most.
+/// Reads the key, then watches for events after the revision of that read. If
+/// nothing arrives on the connection for `silence_timeout`, it is closed and
+/// the key is read and watched again, so that a dead connection delays a change
+/// by at most that time.
 class kv_watch {
   public:
-    /// Receives each value read or reported; called on the watch's thread.
+    /// Receives each value from a read or an event; runs on the watch's
+    /// thread.
     using entry_handler = std::function<void(const kv_reading&)>;
-    /// Receives each failure; called on the watch's thread.
+    /// Receives each failure; runs on the watch's thread.
     using failure_handler = std::function<void(const error&)>;
 
-    /// Starts the thread.
     kv_watch(kv_client client, std::string key, milliseconds silence_timeout,
              entry_handler on_entry, failure_handler on_failure);
 
-    /// Ends the connection and waits for the thread.
+    /// Closes the connection and waits for the thread.
     ~kv_watch();
     kv_watch(const kv_watch&) = delete;
     kv_watch& operator=(const kv_watch&) = delete;
--- a/src/core/kernel.cpp
+++ b/src/core/kernel.cpp
@@ -20,7 +20,8 @@
     : epoll_descriptor_(epoll_create1(EPOLL_CLOEXEC)),
       wake_descriptor_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
     if (epoll_descriptor_ < 0 || wake_descriptor_ < 0)
-        throw std::runtime_error("cannot create the kernel's descriptors");
+        throw std::runtime_error(
+            "cannot create the epoll or eventfd descriptor");
     epoll_event request{};
     request.events = EPOLLIN;
     request.data.fd = wake_descriptor_;
@@ -37,8 +38,8 @@
     dropped.clear();
     timers_.clear();
     watched_.clear();
-    // Services may use each other while they are destroyed in any order, so
-    // none of them may call into the kernel from its destructor.
+    // Services that use each other are destroyed in no particular order, so
+    // the destructor of a service must not call into the kernel.
     services_.clear();
     close(wake_descriptor_);
     close(epoll_descriptor_);
@@ -46,7 +47,7 @@
 
 void kernel::insert(const std::string& name, service_record record) {
     if (!services_.emplace(name, std::move(record)).second)
-        throw std::logic_error("service " + name + " exists twice");
+        throw std::logic_error("service " + name + " is already registered");
 }
 
 const kernel::service_record*
@@ -212,7 +213,7 @@
 }
 
 void kernel::run_turn_end() {
-    // Work may add more, which belongs to this turn as well.
+    // A task may append further tasks, which run in the same iteration.
     for (std::size_t index = 0; index < turn_end_.size(); ++index) {
         const task work = std::move(turn_end_[index]);
         work();
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -25,16 +25,17 @@
 
 namespace {
 
-/// Lines that wait for standard output: some 4,000 of 240 bytes, the mean of
-/// the incidents' logs.
+/// Capacity for lines that wait for standard output: some 4,000 lines of 240
+/// bytes, the mean length in the logs of the incident scenarios.
 constexpr std::size_t ring_capacity_bytes = 1024 * 1024;
-/// Lines a second of one event below `warn`. On the incidents and scale-2 of
-/// both sites an entry wrote 68 at most.
+/// Limit per event and second for lines below `warn`. An entry wrote at most 68
+/// in the incident scenarios and in scale-2, at both sites.
 constexpr std::uint32_t lines_per_second = 1000;
-/// Interval between two lines that tell what was left out.
+/// Minimum interval between two reports of dropped lines.
 constexpr seconds drop_report_interval{1};
 
-/// Writes each event as one JSON object; the message holds its fields.
+/// Formats each event as one JSON object a line; the log4cplus message is the
+/// JSON object of the event's fields.
 class json_layout : public log4cplus::Layout {
   public:
     explicit json_layout(std::string process) : process_(std::move(process)) {}
@@ -55,8 +56,8 @@
     std::string process_;
 };
 
-/// Everything that the log keeps; never destroyed, since the thread that
-/// writes may be waiting for a reader when the process ends.
+/// State of the log. Never destroyed, because the writer thread may still be
+/// blocked on standard output when the process exits.
 struct log_state {
     line_ring ring{ring_capacity_bytes};
     absl::Mutex mutex;
@@ -71,7 +72,7 @@
     return instance;
 }
 
-/// Copies lines to standard output for as long as the process lives.
+/// Writes queued lines to standard output until the process exits.
 void write_lines() {
     for (;;) {
         const std::string text = state().ring.take();
@@ -82,14 +83,15 @@
             if (count < 0 && errno == EINTR)
                 continue;
             if (count < 0)
-                break; // Nobody is left to tell.
+                break; // Standard output is closed or failing.
             remaining.remove_prefix(static_cast<std::size_t>(count));
         }
         state().ring.on_written();
     }
 }
 
-/// Starts the thread that writes; signals are left to the others.
+/// Starts the writer thread with all signals blocked, so that other threads
+/// handle them.
 bool start_writer() {
     sigset_t all_signals;
     sigset_t previous_mask;
@@ -106,7 +108,7 @@
     ++state().dropped["no_room"];
 }
 
-/// Hands lines to the ring.
+/// Appends formatted lines to the ring.
 class ring_appender : public log4cplus::Appender {
   public:
     ~ring_appender() override { destructorImpl(); }
@@ -149,8 +151,10 @@
 
 using dropped_counts = std::map<std::string, std::uint64_t>;
 
-/// Counts a line; returns false if it is to be left out, and in `told` what was
-/// left out before, if it is time to tell it.
+/// Applies the quota to a line; returns false if the line must be dropped.
+///
+/// Moves the counts of dropped lines to `newly_dropped` if a report of them is
+/// due.
 bool admit(log_level level, const std::string& event,
            dropped_counts& newly_dropped) {
     const instant now = steady::now();
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -71,13 +71,13 @@
         witness.name = reader.text("name");
         witness.peer = reader.endpoint("peer");
         if (!names.insert(witness.name).second)
-            reader.report("name", "names a witness twice");
+            reader.report("name", "must be unique among the witnesses");
         reader.finish();
         out.push_back(witness);
     }
     if (out.empty() || out.size() > max_witnesses)
-        section.report("witnesses",
-                       fmt::format("must name 1 to {} entries", max_witnesses));
+        section.report("witnesses", fmt::format("must contain 1 to {} entries",
+                                                max_witnesses));
     return out;
 }
 
@@ -94,7 +94,7 @@
                                            minutes(1), out.silence_timeout);
     if (out.silence_timeout < 2 * out.heartbeat_interval)
         section.report("silence_timeout",
-                       "must be at least two heartbeat intervals");
+                       "must be at least twice cluster.heartbeat_interval");
     out.gossip_interval = section.duration("gossip_interval", milliseconds(50),
                                            seconds(10), out.gossip_interval);
     out.claim_retention = section.duration("claim_retention", seconds(10),
--- a/src/store/kv_client.cpp
+++ b/src/store/kv_client.cpp
@@ -16,7 +16,8 @@
 constexpr int status_too_many_requests = 429;
 constexpr int first_server_error = 500;
 
-/// A server error may follow a write that took effect; a refusal may not.
+/// Maps an HTTP status other than 200. A write may have taken effect despite a
+/// server error (5xx), but not after any other status, which is a refusal.
 error_code to_error_code(int status) noexcept {
     if (status >= first_server_error)
         return error_code::unknown_effect;
@@ -24,7 +25,7 @@
                                               : error_code::invalid_argument;
 }
 
-/// A call that did not even connect has changed nothing.
+/// Maps a transport failure. A call that did not connect had no effect.
 error_code to_error_code(httplib::Error failure) noexcept {
     switch (failure) {
     case httplib::Error::Connection:
@@ -64,7 +65,7 @@
     const auto text = value_or_error(
         [&] { return post("/v3/kv/range", body.dump(), "kv.read"); }, failure);
     if (!text) {
-        // A read changes nothing, whatever became of it.
+        // A read changes nothing, so its effect is never unknown.
         if (failure.code == error_code::unknown_effect)
             failure.code = error_code::unavailable;
         return leaf::new_error(failure);
@@ -127,7 +128,7 @@
                     httplib::to_string(answer.error()));
     if (answer->status != status_ok)
         return fail(to_error_code(answer->status), step, url_,
-                    "status " + std::to_string(answer->status));
+                    "HTTP status " + std::to_string(answer->status));
     return answer->body;
 }
 
--- a/src/store/kv_json.cpp
+++ b/src/store/kv_json.cpp
@@ -13,7 +13,7 @@
 std::string from_base64(const std::string& text) {
     std::string bytes;
     if (!absl::Base64Unescape({text.data(), text.size()}, &bytes))
-        throw std::runtime_error("not base64");
+        throw std::runtime_error("value is not valid base64");
     return bytes;
 }
 
--- a/src/store/kv_watch.cpp
+++ b/src/store/kv_watch.cpp
@@ -13,11 +13,12 @@
 
 using json_value = nlohmann::json;
 
-/// Time after a failed read or watch before the next try.
+/// Delay between a failed read or watch and the retry.
 constexpr absl::Duration retry_delay = absl::Milliseconds(500);
 
-/// A connection is replaced after this many silence limits even if it is not
-/// silent, so that a read verifies what it reported.
+/// Maximum age of a watch connection, in multiples of the silence timeout. An
+/// active connection is replaced as well, so that a new read verifies the
+/// events that it delivered.
 constexpr int max_watch_silence_timeouts = 4;
 
 constexpr std::size_t max_line_bytes = 4 * 1024 * 1024;
@@ -105,11 +106,12 @@
         const absl::MutexLock lock(&mutex_);
         connection_.reset();
     }
-    // A watch that lasted ended by silence or age; one that did not, failed.
+    // A watch that lasted for the silence timeout has ended by silence or age,
+    // which is no failure; one that ended earlier has failed.
     if (steady::now() - opened_at >= silence_timeout_ || is_stopped())
         return;
     on_failure_({error_code::unavailable, "kv.watch", client_.url(),
-                 answer ? "status " + std::to_string(answer->status)
+                 answer ? "HTTP status " + std::to_string(answer->status)
                         : httplib::to_string(answer.error())});
     wait_before_retry();
 }
--- a/tests/kv_client.cpp
+++ b/tests/kv_client.cpp
@@ -21,7 +21,8 @@
 
 constexpr milliseconds call_timeout{200};
 
-/// HTTP server on a free loopback port that answers as the test says.
+/// Stand-in of the JSON gateway: an HTTP server on a free loopback port, with
+/// handlers set by the test.
 class gateway {
   public:
     gateway() { port_ = server_.bind_to_any_port("127.0.0.1"); }
@@ -43,7 +44,7 @@
     void post(const std::string& path, httplib::Server::Handler handler) {
         server_.Post(path, std::move(handler));
     }
-    /// Sleeps until `time` has passed or the server stops.
+    /// Blocks the handler until `time` has passed or the server stops.
     void hold_response(milliseconds time) const {
         const instant end = steady::now() + time;
         while (!stopped_ && steady::now() < end)
@@ -78,7 +79,7 @@
     return failure;
 }
 
-/// Values that a watch has reported.
+/// Collects the values that a watch reports; absent keys count as empty.
 class value_log {
   public:
     void add(const kv_reading& reading) {
@@ -156,7 +157,7 @@
     CHECK(failure.peer == "http://127.0.0.1:1");
 }
 
-TEST_CASE("kv_client - a write without an answer has an unknown effect") {
+TEST_CASE("kv_client - a write that times out has an unknown effect") {
     gateway platform;
     platform.post("/v3/kv/txn",
                   [&](const httplib::Request&, httplib::Response&) {
@@ -211,7 +212,7 @@
                 const std::string line = R"({"result":{"created":true}})"
                                          "\n" +
                                          event.dump() + "\n";
-                // In two pieces, as a network may deliver it.
+                // A line may arrive in several pieces.
                 sink.write(line.data(), 40);
                 platform.hold_response(milliseconds(20));
                 sink.write(line.data() + 40, line.size() - 40);
@@ -234,7 +235,8 @@
     platform.stop();
 }
 
-TEST_CASE("kv_watch - a watch that went silent is noticed") {
+TEST_CASE(
+    "kv_watch - a silent connection is replaced and a missed change read") {
     gateway platform;
     std::atomic<bool> changed{false};
     platform.post("/v3/kv/range",
--- a/tests/line_ring.cpp
+++ b/tests/line_ring.cpp
@@ -7,7 +7,7 @@
 
 using namespace ospreystage;
 
-TEST_CASE("line ring - lines are taken in their order") {
+TEST_CASE("line ring - lines are returned in order") {
     line_ring ring(100);
     CHECK(ring.push("one\n", false));
     CHECK(ring.push("two\n", true));
@@ -15,13 +15,13 @@
     CHECK(ring.pending_bytes() == 0);
 }
 
-TEST_CASE("line ring - without a reader it keeps to its size") {
+TEST_CASE("line ring - without a reader the capacity bounds the backlog") {
     line_ring ring(1000);
     int accepted = 0;
     for (int line = 0; line < 10'000; ++line)
         accepted += ring.push("0123456789", false) ? 1 : 0;
     CHECK(accepted == 50);
-    // Failures still have the other half.
+    // Failure lines may still use the other half of the capacity.
     CHECK(ring.push("failure", true));
     while (ring.push("0123456789", true))
         continue;
@@ -29,7 +29,8 @@
     CHECK(ring.take().find("failure") != std::string::npos);
 }
 
-TEST_CASE("line ring - the end waits for the writer, and not for ever") {
+TEST_CASE(
+    "line ring - the final wait ends at its limit or when all is written") {
     line_ring ring(1000);
     ring.push("line\n", false);
     CHECK_FALSE(ring.wait_until_written(milliseconds(20)));
@@ -42,7 +43,7 @@
     writer.join();
 }
 
-TEST_CASE("line quota - one kind does not use up what another may write") {
+TEST_CASE("line quota - the limit applies to each kind separately") {
     line_quota quota(3);
     const instant start = steady::now();
     int accepted = 0;
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("settings - a complete agent file is read") {
+TEST_CASE("settings - a complete agent file is accepted") {
     error failure;
     const auto value = value_or_error(
         [&] { return parse_settings(agent_text, "agent.toml"); }, failure);
@@ -54,7 +54,7 @@
     CHECK(value->cluster.witnesses.size() == 1);
 }
 
-TEST_CASE("settings - an unknown key is named with file and line") {
+TEST_CASE("settings - an unknown key is reported with file and line") {
     CHECK(fault_of(replaced("[listen]", "[listen]\nhtp = 1")) ==
           "agent.toml:9: listen.htp is not a known key");
 }
@@ -77,6 +77,6 @@
               .find("cluster.token is missing") != std::string::npos);
 }
 
-TEST_CASE("settings - text that is not TOML is refused with its line") {
+TEST_CASE("settings - invalid TOML is refused with file and line") {
     CHECK(fault_of("[process\n").starts_with("agent.toml:1"));
 }
