--- a/src/requests/claim_table.cpp
+++ b/src/requests/claim_table.cpp
@@ -186,8 +186,7 @@
     return steps;
 }
 
-// ---- Implementation
-// ---------------------------------------------------------------
+// ---- Implementation ---------------------------------------------------------
 
 void claim_table::record_incarnation(const process_id& witness) {
     std::uint64_t& newest = newest_incarnations_[witness.name];
